--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -15,7 +15,7 @@
 use hibiscus_peer::PinnedKeys;
 use hibiscus_peer::PinnedLink;
 use hibiscus_traffic::answer;
-use hibiscus_traffic::budgets::BudgetDesk;
+use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::clock::MachineClock;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::endings;
@@ -220,7 +220,7 @@
         let (store, sender, limits) = (store.clone(), sender.clone(), settings.store_limits);
         move || append::run(&store, limits, &sender, &batches)
     })?;
-    let mut desk = BudgetDesk::new(own.incarnation, own.name.clone(), clock, outbox);
+    let mut desk = BudgetManager::new(own.incarnation, own.name.clone(), clock, outbox);
     desk.set_reader(reader.thread().clone());
     let retries = RetryCounter::new(RetryBound {
         share: settings.retry_share,
@@ -308,10 +308,10 @@
     let (inbox, calls) = tokio::sync::mpsc::channel(peers::RING_CAPACITY);
     let link = PinnedLink::open(settings.peers, &keys, &state.pins, inbox)?;
     *state.link.borrow_mut() = Some(link);
-    state.budgets.begin();
+    state.budgets.set_start_time();
     tokio::task::spawn_local(peers::answer_calls(Rc::clone(&state), calls));
     tokio::task::spawn_local(recovery::close_unproven(Rc::clone(&state)));
-    tokio::task::spawn_local(recovery::close_strangers(Rc::clone(&state)));
+    tokio::task::spawn_local(recovery::close_ended_processes(Rc::clone(&state)));
     tokio::task::spawn_local(members::keep(Rc::clone(&state), answers::READINESS_PATH));
     tokio::task::spawn_local(endings::keep(Rc::clone(&state)));
     tokio::task::spawn_local(hibiscus_traffic::suspects::keep(Rc::clone(&state)));
@@ -459,8 +459,8 @@
 /// Gives tokens back and writes the last snapshots, until the store has both.
 async fn settle_accounts(state: &Rc<FrontState>, updates: &mut UpdateReceiver) {
     supply::return_all(state).await;
-    state.budgets.give_all_back();
-    while !state.budgets.is_acknowledged() || !state.budgets.is_read_back() {
+    state.budgets.return_all_tokens();
+    while !state.budgets.is_acknowledged() || !state.budgets.has_read_own_records() {
         if let Some(update) = updates.recv().await {
             state.apply(update);
         }
@@ -488,7 +488,7 @@
     if request.uri().path() != answers::READINESS_PATH {
         return answer::status_answer(http::StatusCode::NOT_FOUND);
     }
-    state.tally.readiness_asked.add();
+    state.tally.readiness_requests.add();
     if state.directory.borrow().is_ready() {
         answer::status_answer(http::StatusCode::OK)
     } else {
--- a/crates/hibiscus-ledger/src/account.rs
+++ b/crates/hibiscus-ledger/src/account.rs
@@ -7,7 +7,7 @@
 //! prepaid.
 //!
 //! An incarnation that ends without giving back cannot say what it spent
-//! last. Its reports therefore carry a [`pace::SpendPace`]: a line over the
+//! last. Its reports therefore carry a [`limit::SpendingLimit`]: a line over the
 //! machine's steady clock that its spending stays below. The next process on
 //! the same machine reads that clock, and closes the account with what was
 //! spent at the most ([`AccountRecord::Close`]); the rest is free again. A
@@ -17,14 +17,14 @@
 //! spent.
 //!
 //! [`AccountFold`] is the state that all readers of the stream share,
-//! [`purse::BudgetPurse`] what one holder may still spend.
+//! [`quota::LocalQuota`] what one holder may still spend.
 
 pub mod agreement;
 pub mod batch;
 pub mod demand;
-pub mod pace;
+pub mod limit;
 pub mod policy;
-pub mod purse;
+pub mod quota;
 pub mod snapshot;
 
 use std::collections::BTreeMap;
@@ -37,10 +37,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::account::agreement::CLOCK_SPREAD_MS;
+use crate::account::agreement::MAX_CLOCK_SKEW_MS;
 use crate::account::agreement::RecentReadings;
-use crate::account::pace::MachineTime;
-use crate::account::pace::SpendPace;
+use crate::account::limit::MachineTime;
+use crate::account::limit::SpendingLimit;
 
 /// The stream of account records. Its name tells the format of the records: a
 /// release that changes the format takes another name.
@@ -116,20 +116,20 @@
     /// Sum of all tokens given back so far.
     pub returned: TokenCount,
     /// The line that its spending stays below.
-    pub pace: SpendPace,
+    pub limit: SpendingLimit,
     /// Time of day that had passed when the line was made, as far as the
     /// holder can prove it; in milliseconds since the Unix epoch.
-    pub made_after: Option<u64>,
+    pub created_after: Option<u64>,
     /// Tokens a second that its requests ask for.
     pub demand: u64,
     /// Tokens that it counts as spent and lately passed on to instances that
     /// hold none: what their requests leave comes back.
-    pub passed_on: TokenCount,
+    pub transferred: TokenCount,
 }
 
 /// A draw that the fold decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DrawVerdict {
+pub struct DrawResult {
     /// The budget.
     pub budget: BudgetName,
     /// The incarnation that asked.
@@ -170,7 +170,7 @@
         let Some(report) = &self.report else {
             return Some(TokenCount::ZERO);
         };
-        let limit = report.pace.proved_at(now)?;
+        let limit = report.limit.proved_at(now)?;
         Some(limit.min(self.counted()))
     }
 
@@ -182,13 +182,13 @@
         let Some(report) = &self.report else {
             return TokenCount::ZERO;
         };
-        let (Some(ended), Some(made)) = (ended, report.made_after) else {
+        let (Some(ended), Some(created_at)) = (ended, report.created_after) else {
             return counted;
         };
-        let Some(spent_for) = (ended + CLOCK_SPREAD_MS).checked_sub(made) else {
+        let Some(spent_for) = (ended + MAX_CLOCK_SKEW_MS).checked_sub(created_at) else {
             return counted;
         };
-        report.pace.limit_after(spent_for).min(counted)
+        report.limit.limit_after(spent_for).min(counted)
     }
 
     /// Tokens that the holder has not reported as spent.
@@ -200,8 +200,8 @@
     /// as spent, and what it passed on.
     pub fn unsettled(&self) -> TokenCount {
         let report = self.report.as_ref();
-        let passed_on = report.map_or(TokenCount::ZERO, |report| report.passed_on);
-        self.unreported() + passed_on
+        let transferred = report.map_or(TokenCount::ZERO, |report| report.transferred);
+        self.unreported() + transferred
     }
 }
 
@@ -282,7 +282,7 @@
 
     /// Applies the records at `offset` and returns the draws that it decided.
     /// A lower offset than [`Self::next_offset`] changes nothing.
-    pub fn apply(&mut self, offset: u64, records: &[AccountRecord]) -> Vec<DrawVerdict> {
+    pub fn apply(&mut self, offset: u64, records: &[AccountRecord]) -> Vec<DrawResult> {
         if offset < self.next {
             return Vec::new();
         }
@@ -337,7 +337,7 @@
         holder: IncarnationId,
         machine: &InstanceName,
         (serial, tokens): (u64, TokenCount),
-    ) -> Option<DrawVerdict> {
+    ) -> Option<DrawResult> {
         if self.ended.contains(&(budget.clone(), holder)) {
             return None;
         }
@@ -352,7 +352,7 @@
         held.serial = serial;
         held.drawn = held.drawn + granted;
         account.counted = account.counted + granted;
-        Some(DrawVerdict {
+        Some(DrawResult {
             budget: budget.clone(),
             holder,
             serial,
@@ -378,7 +378,7 @@
         held.returned = held.returned.max(report.returned);
         held.report = Some(report.clone());
         self.readings
-            .push(&held.machine, report.pace.made.unix_millis);
+            .push(&held.machine, report.limit.created_at.unix_millis);
         account.counted = account.counted.saturating_sub(freed);
     }
 
--- a/crates/hibiscus-ledger/src/account/agreement.rs
+++ b/crates/hibiscus-ledger/src/account/agreement.rs
@@ -4,14 +4,14 @@
 //! day proves nothing by itself: it may have been set ahead or back meanwhile.
 //! Several machines that are wrong in the same direction at once are another
 //! matter. So an account that no steady clock can close is closed by two times,
-//! each taken from at least [`LEAST_READINGS`] machines of which a third may
+//! each taken from at least [`MIN_READINGS`] machines of which a third may
 //! be wrong in either direction, and more than half in one:
 //!
 //! - *before* the ended process made its last line: what the newest records of
 //!   the stream showed it ([`RecentReadings`]), carried on by its steady clock
-//!   ([`PassedTime`]); its report tells it;
+//!   ([`ElapsedTime`]); its report tells it;
 //! - *after* the process had ended: what the machines answered to its
-//!   successor ([`latest_agreed`]).
+//!   successor ([`agreed_upper_bound`]).
 //!
 //! The process spent no longer than the time between the two.
 
@@ -22,11 +22,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::account::pace::MachineTime;
+use crate::account::limit::MachineTime;
 
 /// Readings below which nothing is agreed on: two clocks cannot tell which of
 /// them is wrong.
-pub const LEAST_READINGS: usize = 3;
+pub const MIN_READINGS: usize = 3;
 /// One in this many readings at the end of the order that would prove more
 /// than is true is left out.
 const DOUBTED_SHARE: usize = 3;
@@ -35,7 +35,7 @@
 const READINGS_KEPT: usize = 64;
 /// Difference between correct clocks, in milliseconds: machines that follow a
 /// time server stay within a tenth of it.
-pub const CLOCK_SPREAD_MS: u64 = 500;
+pub const MAX_CLOCK_SKEW_MS: u64 = 500;
 
 /// One machine's time of day, as a record of the stream shows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -84,12 +84,12 @@
 /// A time of day that has passed, as a holder follows it: each record that it
 /// reads may show a later one, and its steady clock goes on from there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PassedTime {
+pub struct ElapsedTime {
     /// The time of day, and the steady clock when it was known to have passed.
     anchor: Option<(u64, MachineTime)>,
 }
 
-impl PassedTime {
+impl ElapsedTime {
     /// Takes over that the time of day `passed` has passed at `now`.
     pub fn observe(&mut self, passed: u64, now: MachineTime) {
         if self.at(now).is_none_or(|known| passed > known) {
@@ -107,7 +107,7 @@
 
 /// A time of day that had not passed when the first of `readings` was made.
 /// `None` when these are too few.
-pub fn latest_agreed(readings: &[u64]) -> Option<u64> {
+pub fn agreed_upper_bound(readings: &[u64]) -> Option<u64> {
     let mut millis = readings.to_vec();
     millis.sort_unstable_by(|a, b| b.cmp(a));
     agreed(&millis)
@@ -115,7 +115,7 @@
 
 /// The first of `ordered` after those that are doubted.
 fn agreed(ordered: &[u64]) -> Option<u64> {
-    if ordered.len() < LEAST_READINGS {
+    if ordered.len() < MIN_READINGS {
         return None;
     }
     ordered.get((ordered.len() - 1) / DOUBTED_SHARE).copied()
--- a/crates/hibiscus-ledger/src/account/pace.rs
+++ b/crates/hibiscus-ledger/src/account/limit.rs
@@ -47,24 +47,24 @@
 /// time counts from a while after the line was made: a holder that reaches the
 /// store makes a new line before that, and one that ends takes little along.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SpendPace {
-    /// Tokens spent and reserved at [`Self::made`].
+pub struct SpendingLimit {
+    /// Tokens spent and reserved at [`Self::created_at`].
     pub base: TokenCount,
     /// Tokens beyond them that may be spent at once.
     pub burst: TokenCount,
     /// Tokens that may be spent in each second once the line grows.
     pub per_second: u64,
     /// When the line was made.
-    pub made: MachineTime,
+    pub created_at: MachineTime,
     /// Milliseconds from then until the line grows.
     pub grows_after: u64,
 }
 
-impl SpendPace {
+impl SpendingLimit {
     /// The most that the process that made the line may spend and reserve at
     /// `now`.
     pub fn limit_at(&self, now: MachineTime) -> TokenCount {
-        self.limit_after(now.since_own(self.made))
+        self.limit_after(now.since_own(self.created_at))
     }
 
     /// Milliseconds after the line was made from which on it allows `tokens`;
@@ -86,7 +86,7 @@
     /// The most that an ended process of this machine had spent and reserved;
     /// `None` when the clocks prove nothing.
     pub fn proved_at(&self, now: MachineTime) -> Option<TokenCount> {
-        Some(self.limit_after(now.since_other(self.made)?))
+        Some(self.limit_after(now.since_other(self.created_at)?))
     }
 
     /// The most that may be spent and reserved `millis` after the line was
--- a/crates/hibiscus-ledger/src/account/policy.rs
+++ b/crates/hibiscus-ledger/src/account/policy.rs
@@ -64,7 +64,7 @@
 
 /// What the policy decides on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DrawView {
+pub struct DrawInputs {
     /// Tokens a second that this holder spends.
     pub demand_per_second: f64,
     /// Tokens that waiting requests need.
@@ -86,21 +86,21 @@
     /// Whether this holder has begun a planned stop.
     pub stopping: bool,
     /// What it does for the budget.
-    pub duty: HolderDuty,
+    pub mode: DrawMode,
 }
 
 /// What an instance does for a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HolderDuty {
+pub enum DrawMode {
     /// It draws for the demand to come.
     #[default]
-    Holds,
+    Prefetch,
     /// It draws for requests that wait and keeps what it has: it does not know
     /// the other instances, or does not reach most of them.
-    Waits,
+    OnDemand,
     /// Others hold in its place: it draws for requests that wait, and gives the
     /// rest back.
-    Relieved,
+    Release,
 }
 
 /// What a holder should do now.
@@ -121,12 +121,12 @@
 }
 
 /// Decides for one budget.
-pub fn decide(view: &DrawView) -> DrawDecision {
+pub fn decide(view: &DrawInputs) -> DrawDecision {
     let decision = decide_serving(view);
     let waiting = view.wanted.saturating_sub(view.available).min(view.free);
-    match view.duty {
-        HolderDuty::Holds if !view.stopping => return decision,
-        HolderDuty::Waits if !view.stopping => {
+    match view.mode {
+        DrawMode::Prefetch if !view.stopping => return decision,
+        DrawMode::OnDemand if !view.stopping => {
             return DrawDecision {
                 draw: waiting,
                 give_back: TokenCount::ZERO,
@@ -148,7 +148,7 @@
 }
 
 /// Decides for a holder that serves on.
-fn decide_serving(view: &DrawView) -> DrawDecision {
+fn decide_serving(view: &DrawInputs) -> DrawDecision {
     let ample = ampleness(view);
     let holders = f64::from(view.holders.max(1));
     let ready = view.free.get() as f64 * READY_PART / holders * ample;
@@ -175,19 +175,19 @@
     let burst_time = burst_time.min(BURST_LIMIT.as_secs_f64());
     let burst = view.demand_per_second * burst_time * ample;
     let [least, most] = PACE_FACTORS;
-    let pace = view.demand_per_second * (least + (most - least) * plenty) * ample;
+    let limit = view.demand_per_second * (least + (most - least) * plenty) * ample;
     DrawDecision {
         draw,
         give_back,
         burst: tokens(burst.max(ready)),
-        per_second: tokens(pace.max(ready / READY_PACE.as_secs_f64())).get(),
+        per_second: tokens(limit.max(ready / READY_PACE.as_secs_f64())).get(),
         grows_after: between(GROWTH_DELAYS, plenty),
         report_interval: between(REPORT_INTERVALS, plenty),
     }
 }
 
 /// 0 while little of a budget is left, up to 1 with plenty.
-fn plenty(view: &DrawView) -> f64 {
+fn plenty(view: &DrawInputs) -> f64 {
     if view.prepaid.is_zero() {
         return 0.0;
     }
@@ -205,7 +205,7 @@
 /// The part of what is left that this holder may keep: its part of the
 /// demand, of the part that may be out at once. Without a demand it is what
 /// is kept ready.
-fn fair_part(view: &DrawView, ready: f64) -> f64 {
+fn fair_part(view: &DrawInputs, ready: f64) -> f64 {
     let left = (view.free + view.held).get() as f64;
     let low = view.prepaid.get() as f64 * LOW_PART;
     let lowness = if low > 0.0 {
@@ -222,7 +222,7 @@
 }
 
 /// 1 while a budget is far from its limit, down to 0 at it.
-fn ampleness(view: &DrawView) -> f64 {
+fn ampleness(view: &DrawInputs) -> f64 {
     let scarce = view.prepaid.get() as f64 * SCARCE_PART;
     if scarce <= 0.0 {
         return 0.0;
--- a/crates/hibiscus-ledger/src/account/purse.rs
+++ b/crates/hibiscus-ledger/src/account/quota.rs
@@ -4,30 +4,30 @@
 
 use hibiscus_types::TokenCount;
 
-use crate::account::pace::MachineTime;
-use crate::account::pace::SpendPace;
+use crate::account::limit::MachineTime;
+use crate::account::limit::SpendingLimit;
 
 /// Whose tokens pay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldSource {
+pub enum TokenSource {
     /// This holder drew them.
     Drawn,
     /// Another holder gave them, and counts them as spent.
-    Given,
+    Transferred,
 }
 
 /// Tokens set aside for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TokenHold {
+pub struct QuotaReservation {
     /// The most that the request may cost.
     pub tokens: TokenCount,
     /// Whose they are.
-    pub source: HoldSource,
+    pub source: TokenSource,
 }
 
 /// Why tokens cannot be set aside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldFault {
+pub enum ReservationError {
     /// The holder has not drawn enough.
     NotDrawn,
     /// The pace that the holder reported does not allow it yet.
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug)]
 struct SentPace {
     batch: u64,
-    pace: SpendPace,
+    limit: SpendingLimit,
 }
 
 /// One holder's side of its account. Sums but `reserved` only grow, and
@@ -47,7 +47,7 @@
 /// The holder keeps to every line that the store may show last: the newest
 /// one that was acknowledged, and all that were sent after it.
 #[derive(Clone, Debug, Default)]
-pub struct BudgetPurse {
+pub struct LocalQuota {
     drawn: TokenCount,
     returned: TokenCount,
     spent: TokenCount,
@@ -58,7 +58,7 @@
     acknowledged: bool,
 }
 
-impl BudgetPurse {
+impl LocalQuota {
     /// Adds tokens that the fold granted.
     pub fn add(&mut self, granted: TokenCount) {
         self.drawn = self.drawn + granted;
@@ -113,9 +113,9 @@
         self.paces.len() > kept
     }
 
-    /// Notes that `batch` carries the line `pace`.
-    pub fn send_pace(&mut self, batch: u64, pace: SpendPace) {
-        self.paces.push_back(SentPace { batch, pace });
+    /// Notes that `batch` carries the line `limit`.
+    pub fn send_pace(&mut self, batch: u64, limit: SpendingLimit) {
+        self.paces.push_back(SentPace { batch, limit });
     }
 
     /// Notes that the store has all batches up to `batch`.
@@ -137,28 +137,28 @@
         &mut self,
         tokens: TokenCount,
         now: MachineTime,
-    ) -> std::result::Result<TokenHold, HoldFault> {
+    ) -> std::result::Result<QuotaReservation, ReservationError> {
         if tokens <= self.given {
             self.given = self.given.saturating_sub(tokens);
-            let source = HoldSource::Given;
-            return Ok(TokenHold { tokens, source });
+            let source = TokenSource::Transferred;
+            return Ok(QuotaReservation { tokens, source });
         }
         if tokens > self.available() {
-            return Err(HoldFault::NotDrawn);
+            return Err(ReservationError::NotDrawn);
         }
         let used = self.used() + tokens;
         if self.allowed(now).is_none_or(|allowed| used > allowed) {
-            return Err(HoldFault::TooFast);
+            return Err(ReservationError::TooFast);
         }
         self.reserved = self.reserved + tokens;
-        let source = HoldSource::Drawn;
-        Ok(TokenHold { tokens, source })
+        let source = TokenSource::Drawn;
+        Ok(QuotaReservation { tokens, source })
     }
 
     /// Ends a reservation of which `charge` was used; more than was reserved
     /// is never charged.
-    pub fn settle(&mut self, hold: TokenHold, charge: TokenCount) {
-        if hold.source == HoldSource::Given {
+    pub fn settle(&mut self, hold: QuotaReservation, charge: TokenCount) {
+        if hold.source == TokenSource::Transferred {
             self.given = self.given + hold.tokens.saturating_sub(charge);
             return;
         }
@@ -189,8 +189,8 @@
         let used = self.used() + tokens;
         let mut longest = 0;
         for sent in &self.paces {
-            let passed = now.since_own(sent.pace.made);
-            longest = longest.max(sent.pace.allows_after(used)?.saturating_sub(passed));
+            let passed = now.since_own(sent.limit.created_at);
+            longest = longest.max(sent.limit.allows_after(used)?.saturating_sub(passed));
         }
         Some(longest)
     }
@@ -201,7 +201,7 @@
         if !self.acknowledged {
             return None;
         }
-        let limit = |sent: &SentPace| sent.pace.limit_at(now);
+        let limit = |sent: &SentPace| sent.limit.limit_at(now);
         self.paces.iter().map(limit).min()
     }
 }
--- a/crates/hibiscus-ledger/tests/account.rs
+++ b/crates/hibiscus-ledger/tests/account.rs
@@ -7,14 +7,14 @@
 use hibiscus_ledger::account::HolderReport;
 use hibiscus_ledger::account::batch;
 use hibiscus_ledger::account::demand::DemandCounter;
-use hibiscus_ledger::account::pace::MachineTime;
-use hibiscus_ledger::account::pace::SpendPace;
+use hibiscus_ledger::account::limit::MachineTime;
+use hibiscus_ledger::account::limit::SpendingLimit;
 use hibiscus_ledger::account::policy;
-use hibiscus_ledger::account::policy::DrawView;
-use hibiscus_ledger::account::policy::HolderDuty;
-use hibiscus_ledger::account::purse::BudgetPurse;
-use hibiscus_ledger::account::purse::HoldFault;
-use hibiscus_ledger::account::purse::HoldSource;
+use hibiscus_ledger::account::policy::DrawInputs;
+use hibiscus_ledger::account::policy::DrawMode;
+use hibiscus_ledger::account::quota::LocalQuota;
+use hibiscus_ledger::account::quota::ReservationError;
+use hibiscus_ledger::account::quota::TokenSource;
 use hibiscus_ledger::account::snapshot::AccountSnapshot;
 use hibiscus_types::BudgetName;
 use hibiscus_types::IncarnationId;
@@ -69,16 +69,16 @@
         serial,
         spent: tokens(spent),
         returned: tokens(returned),
-        pace: SpendPace {
+        limit: SpendingLimit {
             base: tokens(spent),
             burst: tokens(10),
             per_second: 100,
-            made: at(0),
+            created_at: at(0),
             grows_after: 0,
         },
-        made_after: None,
+        created_after: None,
         demand: 0,
-        passed_on: TokenCount::ZERO,
+        transferred: TokenCount::ZERO,
     })
 }
 
@@ -176,33 +176,45 @@
 
 #[test]
 fn a_holder_spends_nothing_before_its_first_line_is_acknowledged() {
-    let mut purse = BudgetPurse::default();
-    purse.add(tokens(500));
-    assert_eq!(purse.reserve(tokens(1), at(0)), Err(HoldFault::TooFast));
-    let pace = SpendPace {
+    let mut quota = LocalQuota::default();
+    quota.add(tokens(500));
+    assert_eq!(
+        quota.reserve(tokens(1), at(0)),
+        Err(ReservationError::TooFast)
+    );
+    let limit = SpendingLimit {
         base: TokenCount::ZERO,
         burst: tokens(100),
         per_second: 0,
-        made: at(0),
+        created_at: at(0),
         grows_after: 0,
     };
-    purse.send_pace(1, pace);
-    assert_eq!(purse.reserve(tokens(1), at(0)), Err(HoldFault::TooFast));
-    purse.acknowledge(1);
-    assert!(purse.reserve(tokens(100), at(0)).is_ok());
-    assert_eq!(purse.reserve(tokens(1), at(0)), Err(HoldFault::TooFast));
-    assert_eq!(purse.reserve(tokens(500), at(0)), Err(HoldFault::NotDrawn));
+    quota.send_pace(1, limit);
+    assert_eq!(
+        quota.reserve(tokens(1), at(0)),
+        Err(ReservationError::TooFast)
+    );
+    quota.acknowledge(1);
+    assert!(quota.reserve(tokens(100), at(0)).is_ok());
+    assert_eq!(
+        quota.reserve(tokens(1), at(0)),
+        Err(ReservationError::TooFast)
+    );
+    assert_eq!(
+        quota.reserve(tokens(500), at(0)),
+        Err(ReservationError::NotDrawn)
+    );
 }
 
 /// Guards against a power cut of all machines that takes along what lines came
 /// to allow since the last report (issue 28).
 #[test]
 fn a_line_that_was_renewed_lately_allows_no_more_than_its_burst() {
-    let line = SpendPace {
+    let line = SpendingLimit {
         base: tokens(1_000),
         burst: tokens(100),
         per_second: 500,
-        made: at(0),
+        created_at: at(0),
         grows_after: 1_500,
     };
     assert_eq!(line.limit_at(at(1_500)), tokens(1_100));
@@ -212,7 +224,7 @@
     assert_eq!(line.allows_after(tokens(1_100)), Some(0));
     assert_eq!(line.allows_after(tokens(1_101)), Some(1_502));
     assert_eq!(line.limit_after(1_502), tokens(1_101));
-    let quiet = SpendPace {
+    let quiet = SpendingLimit {
         per_second: 0,
         ..line
     };
@@ -223,7 +235,7 @@
 /// is what a power cut of all takes along (issue 28).
 #[test]
 fn a_holder_that_reaches_the_store_has_a_fraction_of_a_second_of_its_demand_in_hand() {
-    let view = DrawView {
+    let view = DrawInputs {
         demand_per_second: 10_000.0,
         others_per_second: 70_000.0,
         available: tokens(150_000),
@@ -231,7 +243,7 @@
         held: tokens(200_000),
         prepaid: tokens(4_000_000),
         holders: 8,
-        ..DrawView::default()
+        ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     assert!(decision.burst <= tokens(2_500), "{decision:?}");
@@ -239,14 +251,14 @@
         decision.grows_after >= Duration::from_secs(2),
         "{decision:?}"
     );
-    let slow = DrawView {
+    let slow = DrawInputs {
         store_delay: Duration::from_millis(300),
         ..view
     };
     let slow = policy::decide(&slow);
     assert!(slow.burst >= tokens(6_000), "{slow:?}");
     assert!(slow.burst <= tokens(20_000), "{slow:?}");
-    let quiet = DrawView {
+    let quiet = DrawInputs {
         demand_per_second: 0.0,
         ..view
     };
@@ -257,28 +269,31 @@
 
 #[test]
 fn given_tokens_count_for_the_giver_and_not_for_the_taker() {
-    let mut giver = BudgetPurse::default();
+    let mut giver = LocalQuota::default();
     giver.add(tokens(500));
     giver.send_pace(
         1,
-        SpendPace {
+        SpendingLimit {
             burst: tokens(300),
-            made: at(0),
-            ..SpendPace::default()
+            created_at: at(0),
+            ..SpendingLimit::default()
         },
     );
     giver.acknowledge(1);
-    assert_eq!(giver.reserve(tokens(400), at(0)), Err(HoldFault::TooFast));
+    assert_eq!(
+        giver.reserve(tokens(400), at(0)),
+        Err(ReservationError::TooFast)
+    );
     let given = tokens(300);
     let hold = giver.reserve(given, at(0)).expect("the line allows it");
     giver.settle(hold, given);
     assert_eq!(giver.spent(), tokens(300));
-    let mut taker = BudgetPurse::default();
+    let mut taker = LocalQuota::default();
     taker.add_given(given);
     let hold = taker
         .reserve(tokens(200), at(0))
         .expect("the tokens were given");
-    assert_eq!(hold.source, HoldSource::Given);
+    assert_eq!(hold.source, TokenSource::Transferred);
     taker.settle(hold, tokens(50));
     assert_eq!(taker.spent(), TokenCount::ZERO);
     assert!(taker.reserve(tokens(250), at(0)).is_ok());
@@ -288,29 +303,35 @@
 /// some 4 in 100 of a total (issue 28).
 #[test]
 fn tokens_that_come_back_are_there_for_the_store_and_the_next_request() {
-    let mut purse = BudgetPurse::default();
-    purse.add(tokens(500));
-    let line = SpendPace {
+    let mut quota = LocalQuota::default();
+    quota.add(tokens(500));
+    let line = SpendingLimit {
         burst: tokens(300),
-        made: at(0),
-        ..SpendPace::default()
+        created_at: at(0),
+        ..SpendingLimit::default()
     };
-    purse.send_pace(1, line);
-    purse.acknowledge(1);
-    let hold = purse
+    quota.send_pace(1, line);
+    quota.acknowledge(1);
+    let hold = quota
         .reserve(tokens(300), at(0))
         .expect("the line allows it");
-    purse.settle(hold, tokens(300));
-    assert_eq!(purse.reserve(tokens(1), at(0)), Err(HoldFault::TooFast));
-    purse.refund(tokens(120));
-    assert_eq!(purse.spent(), tokens(180));
-    assert_eq!(purse.available(), tokens(320));
-    assert!(purse.reserve(tokens(120), at(0)).is_ok());
-    assert_eq!(purse.reserve(tokens(1), at(0)), Err(HoldFault::TooFast));
+    quota.settle(hold, tokens(300));
+    assert_eq!(
+        quota.reserve(tokens(1), at(0)),
+        Err(ReservationError::TooFast)
+    );
+    quota.refund(tokens(120));
+    assert_eq!(quota.spent(), tokens(180));
+    assert_eq!(quota.available(), tokens(320));
+    assert!(quota.reserve(tokens(120), at(0)).is_ok());
+    assert_eq!(
+        quota.reserve(tokens(1), at(0)),
+        Err(ReservationError::TooFast)
+    );
     // What another holder had passed on counts there.
-    purse.refund(tokens(200));
-    assert_eq!(purse.spent(), TokenCount::ZERO);
-    assert_eq!(purse.given(), tokens(20));
+    quota.refund(tokens(200));
+    assert_eq!(quota.spent(), TokenCount::ZERO);
+    assert_eq!(quota.given(), tokens(20));
 }
 
 #[test]
@@ -342,14 +363,14 @@
 /// 10 s, as long as that leaves something free.
 #[test]
 fn a_holder_with_all_the_demand_outlasts_a_cut() {
-    let view = DrawView {
+    let view = DrawInputs {
         demand_per_second: 25_000.0,
         available: tokens(60_000),
         free: tokens(420_000),
         held: tokens(80_000),
         prepaid: tokens(880_000),
         holders: 7,
-        ..DrawView::default()
+        ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     let held = view.available + decision.draw;
@@ -360,13 +381,13 @@
 /// Two holders ask for all at once: the second one's part is kept.
 #[test]
 fn holders_share_what_is_left_by_their_demand() {
-    let view = DrawView {
+    let view = DrawInputs {
         demand_per_second: 10_000.0,
         others_per_second: 30_000.0,
         free: tokens(100_000),
         prepaid: tokens(100_000),
         holders: 2,
-        ..DrawView::default()
+        ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     assert!(decision.draw <= tokens(20_000), "{decision:?}");
@@ -375,13 +396,13 @@
 /// The last tokens of a budget: idle ones go back, lines close.
 #[test]
 fn a_drained_budget_gets_idle_tokens_back_and_allows_no_burst() {
-    let view = DrawView {
+    let view = DrawInputs {
         available: tokens(5_000),
         demand_per_second: 1.0,
         free: TokenCount::ZERO,
         prepaid: tokens(100_000),
         holders: 7,
-        ..DrawView::default()
+        ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     assert!(decision.give_back >= tokens(4_000), "{decision:?}");
@@ -391,12 +412,12 @@
 
 #[test]
 fn a_waiting_request_is_drawn_for_even_near_the_limit() {
-    let view = DrawView {
+    let view = DrawInputs {
         wanted: tokens(3_000),
         free: tokens(3_500),
         prepaid: tokens(100_000),
         holders: 7,
-        ..DrawView::default()
+        ..DrawInputs::default()
     };
     assert_eq!(policy::decide(&view).draw, tokens(3_000));
 }
@@ -406,13 +427,13 @@
 #[test]
 fn holders_leave_most_of_a_low_budget_free() {
     for demand_per_second in [0.0, 5_000.0] {
-        let view = DrawView {
+        let view = DrawInputs {
             demand_per_second,
             others_per_second: demand_per_second * 6.0,
             free: tokens(200_000),
             prepaid: tokens(1_000_000),
             holders: 7,
-            ..DrawView::default()
+            ..DrawInputs::default()
         };
         let decision = policy::decide(&view);
         let all = decision.draw.get() * 7;
@@ -424,14 +445,14 @@
 /// holder does not need must have gone back before.
 #[test]
 fn a_holder_that_stops_gives_back_what_its_last_requests_do_not_need() {
-    let view = DrawView {
+    let view = DrawInputs {
         demand_per_second: 10_000.0,
         available: tokens(150_000),
         free: tokens(900_000),
         prepaid: tokens(1_500_000),
         holders: 7,
         stopping: true,
-        ..DrawView::default()
+        ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     assert!(decision.draw.is_zero(), "{decision:?}");
@@ -531,19 +552,19 @@
 /// are refused (issue 17).
 #[test]
 fn a_relieved_holder_draws_for_waiting_requests_only_and_gives_the_rest_back() {
-    let view = DrawView {
+    let view = DrawInputs {
         available: tokens(50_000),
         free: tokens(500_000),
         prepaid: tokens(1_000_000),
         holders: 8,
-        duty: HolderDuty::Relieved,
-        ..DrawView::default()
+        mode: DrawMode::Release,
+        ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     assert!(decision.draw.is_zero(), "{decision:?}");
     assert_eq!(decision.give_back, view.available);
     let wanted = tokens(60_000);
-    let decision = policy::decide(&DrawView { wanted, ..view });
+    let decision = policy::decide(&DrawInputs { wanted, ..view });
     assert_eq!(decision.draw, tokens(10_000));
     assert!(decision.give_back.is_zero(), "{decision:?}");
 }
@@ -551,19 +572,19 @@
 /// A holder that is cut off must outlast the cut with what it has.
 #[test]
 fn a_holder_that_does_not_reach_the_others_keeps_what_it_has_and_draws_no_more() {
-    let view = DrawView {
+    let view = DrawInputs {
         available: tokens(50_000),
         free: tokens(500_000),
         prepaid: tokens(1_000_000),
         holders: 8,
-        duty: HolderDuty::Waits,
-        ..DrawView::default()
+        mode: DrawMode::OnDemand,
+        ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     assert!(decision.draw.is_zero(), "{decision:?}");
     assert!(decision.give_back.is_zero(), "{decision:?}");
     let wanted = tokens(60_000);
-    let decision = policy::decide(&DrawView { wanted, ..view });
+    let decision = policy::decide(&DrawInputs { wanted, ..view });
     assert_eq!(decision.draw, tokens(10_000));
 }
 
--- a/crates/hibiscus-ledger/tests/account_exhaustive.rs
+++ b/crates/hibiscus-ledger/tests/account_exhaustive.rs
@@ -9,9 +9,9 @@
 use hibiscus_ledger::account::AccountFold;
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_ledger::account::HolderReport;
-use hibiscus_ledger::account::pace::MachineTime;
-use hibiscus_ledger::account::pace::SpendPace;
-use hibiscus_ledger::account::purse::BudgetPurse;
+use hibiscus_ledger::account::limit::MachineTime;
+use hibiscus_ledger::account::limit::SpendingLimit;
+use hibiscus_ledger::account::quota::LocalQuota;
 use hibiscus_types::BudgetName;
 use hibiscus_types::IncarnationId;
 use hibiscus_types::InstanceName;
@@ -61,7 +61,7 @@
     fold: AccountFold,
     offset: u64,
     millis: u64,
-    purse: BudgetPurse,
+    quota: LocalQuota,
     /// Number of the first holder's last report.
     reports: u64,
     drew: bool,
@@ -74,7 +74,7 @@
     /// Tokens that the first holder's requests truly used.
     used: u64,
     /// The newest line sent, for the weaker rule.
-    newest: Option<SpendPace>,
+    newest: Option<SpendingLimit>,
     killed: bool,
     closed: bool,
     other_serial: u64,
@@ -117,7 +117,7 @@
             fold,
             offset: 1,
             millis: 0,
-            purse: BudgetPurse::default(),
+            quota: LocalQuota::default(),
             reports: 0,
             drew: false,
             appending: None,
@@ -146,7 +146,7 @@
         self.offset += 1;
         for verdict in verdicts {
             if verdict.holder == process(FIRST) && !self.killed {
-                self.purse.add(verdict.granted);
+                self.quota.add(verdict.granted);
             }
             if verdict.holder == process(OTHER) {
                 self.other_used += verdict.granted.get();
@@ -156,7 +156,7 @@
 
     fn key(&self) -> Vec<u8> {
         let late: Vec<Vec<u8>> = self.late.iter().map(encoded).collect();
-        let held = (self.purse.spent(), self.purse.returned(), self.purse.used());
+        let held = (self.quota.spent(), self.quota.returned(), self.quota.used());
         let appending = self
             .appending
             .as_ref()
@@ -168,7 +168,7 @@
             self.reports,
             self.checked,
         );
-        let paces = format!("{:?}", self.purse);
+        let paces = format!("{:?}", self.quota);
         let counts = (self.millis, self.used, self.other_used, self.other_serial);
         // Without the offset: copies of an append lead to the same state.
         let state = (
@@ -228,7 +228,7 @@
         }
         let allowed = match pace_rule {
             PaceRule::AllSent => self
-                .purse
+                .quota
                 .clone()
                 .reserve(TokenCount::new(1), self.now())
                 .is_ok(),
@@ -238,8 +238,8 @@
             next.push(self.with(|state| {
                 state.checked += 1;
                 let one = TokenCount::new(1);
-                if let Ok(hold) = state.purse.reserve(one, state.now()) {
-                    state.purse.settle(hold, one);
+                if let Ok(hold) = state.quota.reserve(one, state.now()) {
+                    state.quota.settle(hold, one);
                 } else {
                     // The weaker rule spends what the purse refuses.
                     state.used += 1;
@@ -261,7 +261,7 @@
         if let Some((number, record)) = &self.appending {
             next.push(self.with(|state| {
                 state.append(record);
-                state.purse.acknowledge(*number);
+                state.quota.acknowledge(*number);
                 state.appending = None;
             }));
             next.push(self.with(|state| state.append(record)));
@@ -286,33 +286,33 @@
     /// Sends a report with a line of one token at once and one a second.
     fn report(&mut self) {
         self.reports += 1;
-        let pace = SpendPace {
-            base: self.purse.used(),
+        let limit = SpendingLimit {
+            base: self.quota.used(),
             burst: TokenCount::new(u64::from(self.reports == 1)),
             per_second: u64::from(self.reports == 1),
-            made: self.now(),
+            created_at: self.now(),
             grows_after: self.grows_after,
         };
-        self.newest = Some(pace);
-        self.purse.send_pace(self.reports, pace);
+        self.newest = Some(limit);
+        self.quota.send_pace(self.reports, limit);
         let record = AccountRecord::Report(HolderReport {
             budget: budget(),
             holder: process(FIRST),
             serial: self.reports,
-            spent: self.purse.spent(),
-            returned: self.purse.returned(),
-            pace,
-            made_after: None,
+            spent: self.quota.spent(),
+            returned: self.quota.returned(),
+            limit,
+            created_after: None,
             demand: 0,
-            passed_on: TokenCount::ZERO,
+            transferred: TokenCount::ZERO,
         });
         self.appending = Some((self.reports, record));
     }
 
     fn is_allowed_by_newest(&self) -> bool {
-        let limit = self.newest.map(|pace| pace.limit_at(self.now()));
+        let limit = self.newest.map(|limit| limit.limit_at(self.now()));
         let used = TokenCount::new(self.used + self.checked + 1);
-        let drawn = self.purse.available() + self.purse.used();
+        let drawn = self.quota.available() + self.quota.used();
         limit.is_some_and(|limit| used <= limit) && used <= drawn
     }
 
--- a/crates/hibiscus-ledger/tests/account_power.rs
+++ b/crates/hibiscus-ledger/tests/account_power.rs
@@ -12,11 +12,11 @@
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_ledger::account::HolderReport;
 use hibiscus_ledger::account::agreement;
-use hibiscus_ledger::account::agreement::PassedTime;
+use hibiscus_ledger::account::agreement::ElapsedTime;
 use hibiscus_ledger::account::agreement::RecentReadings;
-use hibiscus_ledger::account::pace::MachineTime;
-use hibiscus_ledger::account::pace::SpendPace;
-use hibiscus_ledger::account::purse::BudgetPurse;
+use hibiscus_ledger::account::limit::MachineTime;
+use hibiscus_ledger::account::limit::SpendingLimit;
+use hibiscus_ledger::account::quota::LocalQuota;
 use hibiscus_types::BudgetName;
 use hibiscus_types::IncarnationId;
 use hibiscus_types::InstanceName;
@@ -51,8 +51,8 @@
     ahead: i64,
     steady_from: u64,
     started: u64,
-    purse: BudgetPurse,
-    passed: PassedTime,
+    quota: LocalQuota,
+    passed: ElapsedTime,
     drawn: u64,
     reports: u64,
     batch: u64,
@@ -103,8 +103,8 @@
     fn restart(&mut self, holder: IncarnationId, truth: u64) {
         self.holder = holder;
         self.started = truth;
-        self.purse = BudgetPurse::default();
-        self.passed = PassedTime::default();
+        self.quota = LocalQuota::default();
+        self.passed = ElapsedTime::default();
         self.drawn = 0;
         self.reports = 0;
         self.batch = 0;
@@ -114,12 +114,12 @@
 
     /// Queues a draw and a report, once the ones before were acknowledged.
     fn report(&mut self, truth: u64) {
-        if self.appending.is_some() || self.purse.has_unacknowledged() {
+        if self.appending.is_some() || self.quota.has_unacknowledged() {
             return;
         }
         self.batch += 1;
         let mut records = Vec::new();
-        if self.purse.available() < tokens(DRAW / 2) {
+        if self.quota.available() < tokens(DRAW / 2) {
             self.drawn += 1;
             records.push(AccountRecord::Draw {
                 budget: budget(),
@@ -130,24 +130,24 @@
             });
         }
         self.reports += 1;
-        let pace = SpendPace {
-            base: self.purse.used(),
+        let limit = SpendingLimit {
+            base: self.quota.used(),
             burst: tokens(200),
             per_second: PER_SECOND,
-            made: self.now(truth),
+            created_at: self.now(truth),
             grows_after: GROWS_AFTER,
         };
-        self.purse.send_pace(self.batch, pace);
+        self.quota.send_pace(self.batch, limit);
         records.push(AccountRecord::Report(HolderReport {
             budget: budget(),
             holder: self.holder,
             serial: self.reports,
-            spent: self.purse.spent(),
-            returned: self.purse.returned(),
-            pace,
-            made_after: self.passed.at(self.now(truth)),
+            spent: self.quota.spent(),
+            returned: self.quota.returned(),
+            limit,
+            created_after: self.passed.at(self.now(truth)),
             demand: 0,
-            passed_on: TokenCount::ZERO,
+            transferred: TokenCount::ZERO,
         }));
         self.appending = Some(records);
     }
@@ -155,13 +155,13 @@
     /// Spends all that it may; returns how much.
     fn spend(&mut self, truth: u64) -> u64 {
         let now = self.now(truth);
-        let allowed = self.purse.allowed(now).unwrap_or_default();
-        let most = allowed.saturating_sub(self.purse.used());
-        let most = most.min(self.purse.available());
-        let Ok(hold) = self.purse.reserve(most, now) else {
+        let allowed = self.quota.allowed(now).unwrap_or_default();
+        let most = allowed.saturating_sub(self.quota.used());
+        let most = most.min(self.quota.available());
+        let Ok(hold) = self.quota.reserve(most, now) else {
             return 0;
         };
-        self.purse.settle(hold, most);
+        self.quota.settle(hold, most);
         most.get()
     }
 }
@@ -181,8 +181,8 @@
             ahead: 0,
             steady_from: 0,
             started: FIRST_MILLIS,
-            purse: BudgetPurse::default(),
-            passed: PassedTime::default(),
+            quota: LocalQuota::default(),
+            passed: ElapsedTime::default(),
             drawn: 0,
             reports: 0,
             batch: 0,
@@ -215,7 +215,7 @@
             let machine = self.machines.iter_mut();
             let holder = verdict.holder;
             if let Some(machine) = machine.into_iter().find(|held| held.holder == holder) {
-                machine.purse.add(verdict.granted);
+                machine.quota.add(verdict.granted);
             }
         }
     }
@@ -232,7 +232,7 @@
         }
         let machine = &mut self.machines[number];
         machine.appending = None;
-        machine.purse.acknowledge(machine.batch);
+        machine.quota.acknowledge(machine.batch);
     }
 
     /// The process of `number` ends, with the machine if `power` is lost.
@@ -262,7 +262,7 @@
                 asked.truncate(self.random.usize(2..=MACHINES));
                 let readings = asked.iter().map(|other| other.unix(self.truth) - since);
                 let readings: Vec<u64> = readings.collect();
-                agreement::latest_agreed(&readings)
+                agreement::agreed_upper_bound(&readings)
             }
             CloseRule::OwnClock => Some(machine.unix(machine.started)),
         };
@@ -276,9 +276,9 @@
             let by_clock = held.spent_by_clock(now);
             let by_agreement = match (rule, &held.report) {
                 (CloseRule::OwnClock, Some(report)) => ended
-                    .and_then(|ended| ended.checked_sub(report.pace.made.unix_millis))
+                    .and_then(|ended| ended.checked_sub(report.limit.created_at.unix_millis))
                     .map_or(held.counted(), |spent_for| {
-                        report.pace.limit_after(spent_for).min(held.counted())
+                        report.limit.limit_after(spent_for).min(held.counted())
                     }),
                 _ => held.spent_by_agreement(ended),
             };
@@ -304,7 +304,7 @@
         let used = self.used.entry(machine.holder).or_default();
         let back = self.random.u64(..=(*used).min(2_000));
         *used -= back;
-        machine.purse.refund(tokens(back));
+        machine.quota.refund(tokens(back));
     }
 
     fn step(&mut self, rule: CloseRule) {
@@ -367,10 +367,10 @@
 
 #[test]
 fn two_clocks_agree_on_nothing_and_of_seven_four_may_be_wrong() {
-    assert_eq!(agreement::latest_agreed(&[5, 5]), None);
-    assert_eq!(agreement::latest_agreed(&[5, 1, 1]), Some(5));
+    assert_eq!(agreement::agreed_upper_bound(&[5, 5]), None);
+    assert_eq!(agreement::agreed_upper_bound(&[5, 1, 1]), Some(5));
     let behind = [100, 1, 2, 3, 4, 102, 101];
-    assert_eq!(agreement::latest_agreed(&behind), Some(100));
+    assert_eq!(agreement::agreed_upper_bound(&behind), Some(100));
     let mut readings = RecentReadings::default();
     for (number, millis) in [900, 100, 901, 902, 101, 903, 102].iter().enumerate() {
         readings.push(&InstanceName::new(format!("machine-{number}")), *millis);
--- a/crates/hibiscus-traffic/src/budgets.rs
+++ b/crates/hibiscus-traffic/src/budgets.rs
@@ -1,6 +1,6 @@
 //! Tokens that this instance holds, and the requests that wait for some.
 //!
-//! [`BudgetDesk`] folds the account stream. What it does with the budgets is in
+//! [`BudgetManager`] folds the account stream. What it does with the budgets is in
 //! the modules below: reservations in `tokens`, what goes to the store in
 //! `review`, what processes leave to each other in `recovery`. The tasks of the
 //! traffic thread share it through a [`BudgetHandle`].
@@ -22,11 +22,11 @@
 use hibiscus_events::event;
 use hibiscus_ledger::account::AccountFold;
 use hibiscus_ledger::account::AccountRecord;
-use hibiscus_ledger::account::agreement::PassedTime;
+use hibiscus_ledger::account::agreement::ElapsedTime;
 use hibiscus_ledger::account::demand::DemandCounter;
-use hibiscus_ledger::account::pace::MachineTime;
-use hibiscus_ledger::account::policy::HolderDuty;
-use hibiscus_ledger::account::purse::BudgetPurse;
+use hibiscus_ledger::account::limit::MachineTime;
+use hibiscus_ledger::account::policy::DrawMode;
+use hibiscus_ledger::account::quota::LocalQuota;
 use hibiscus_ledger::account::snapshot::AccountSnapshot;
 use hibiscus_types::BudgetName;
 use hibiscus_types::IncarnationId;
@@ -38,7 +38,7 @@
 use tokio::sync::Notify;
 
 pub use crate::budgets::handle::BudgetHandle;
-pub use crate::budgets::handle::TokenWant;
+pub use crate::budgets::handle::TokenWaiter;
 use crate::clock::MachineClock;
 use crate::holders;
 use crate::model::FleetConfig;
@@ -59,7 +59,7 @@
 /// One budget at this holder.
 #[derive(Debug, Default)]
 struct HeldBudget {
-    purse: BudgetPurse,
+    quota: LocalQuota,
     demand: DemandCounter,
     /// Number of the last draw sent.
     draw_serial: u64,
@@ -82,7 +82,7 @@
     given_used: Duration,
     /// Tokens passed on to instances that do not hold the budget, by time: what
     /// their requests leave comes back.
-    passed_on: VecDeque<(Duration, TokenCount)>,
+    transferred: VecDeque<(Duration, TokenCount)>,
     /// Wakes the requests that wait.
     changed: Rc<Notify>,
 }
@@ -90,7 +90,7 @@
 impl HeldBudget {
     /// Whether the last report told all that was used and given back.
     fn is_reported(&self) -> bool {
-        (self.purse.used(), self.purse.returned()) == self.reported
+        (self.quota.used(), self.quota.returned()) == self.reported
     }
 }
 
@@ -133,7 +133,7 @@
 
 impl TokenRefusal {
     /// When there is a chance, if that is known.
-    pub fn chance(self) -> Option<Duration> {
+    pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Later(millis) => Some(Duration::from_millis(millis.into())),
             Self::Spent | Self::Unconfirmed => None,
@@ -158,9 +158,9 @@
     /// Instances that draw of the budget.
     pub holders: u32,
     /// Whether this one is among them.
-    pub duty: HolderDuty,
+    pub mode: DrawMode,
     /// Whether it writes the budget's snapshots.
-    pub keeps: bool,
+    pub writes_snapshots: bool,
 }
 
 /// How far the accounts of earlier processes of this machine are closed.
@@ -175,7 +175,7 @@
 }
 
 /// The budgets of one instance.
-pub struct BudgetDesk {
+pub struct BudgetManager {
     holder: IncarnationId,
     machine: InstanceName,
     clock: MachineClock,
@@ -206,7 +206,7 @@
     began: MachineTime,
     recovery: RecoveryPhase,
     /// Time of day that has passed by the machines' records.
-    passed: PassedTime,
+    passed: ElapsedTime,
     /// When the last record of the stream came, or it was read to its end.
     heard: Duration,
     /// Whether a planned stop has begun.
@@ -220,7 +220,7 @@
     tally: Rc<WorkTally>,
 }
 
-impl BudgetDesk {
+impl BudgetManager {
     /// A desk of `holder` on `machine` that appends through `outbox`.
     pub fn new(
         holder: IncarnationId,
@@ -249,7 +249,7 @@
             sent: VecDeque::new(),
             store_delay: Duration::ZERO,
             recovery: RecoveryPhase::Reading,
-            passed: PassedTime::default(),
+            passed: ElapsedTime::default(),
             heard: Duration::ZERO,
             stopping: false,
             closed: false,
@@ -261,12 +261,12 @@
 
     /// This process holds the ports of its instance from now on, so the ones
     /// before have ended.
-    pub fn begin(&mut self) {
+    pub fn set_start_time(&mut self) {
         self.began = self.clock.now();
     }
 
     /// This process, the clocks when it held its ports, and the time since.
-    pub fn process(&self) -> (IncarnationId, MachineTime, Duration) {
+    pub fn process_start(&self) -> (IncarnationId, MachineTime, Duration) {
         let since = self.clock.now().since_own(self.began);
         (self.holder, self.began, Duration::from_millis(since))
     }
@@ -277,20 +277,20 @@
     }
 
     /// The stream ended at the offset `end` when it was read last, at `now`.
-    pub fn note_end(&mut self, end: u64, now: Duration) {
+    pub fn set_stream_end(&mut self, end: u64, now: Duration) {
         self.stream_end = end;
-        if self.lag() == 0 {
+        if self.unread_records() == 0 {
             self.heard = now;
         }
     }
 
     /// Records of the stream that are not folded yet.
-    pub fn lag(&self) -> u64 {
+    pub fn unread_records(&self) -> u64 {
         self.stream_end.saturating_sub(self.fold.next_offset())
     }
 
     /// Accounts over all budgets and holders.
-    pub fn accounts(&self) -> usize {
+    pub fn account_count(&self) -> usize {
         let budgets = self.fold.budgets().values();
         budgets.map(|account| account.holders.len()).sum()
     }
@@ -328,16 +328,16 @@
     }
 
     /// Budgets of the configuration.
-    pub fn count(&self) -> usize {
+    pub fn budget_count(&self) -> usize {
         self.totals.len()
     }
 
     /// Whether something of an own account is not settled in the store.
-    pub fn has_account(&self) -> bool {
+    pub fn has_unsettled_account(&self) -> bool {
         let mut held = self.held.values();
-        !self.is_read_back()
+        !self.has_read_own_records()
             || held.any(|held| {
-                held.pending || !held.purse.available().is_zero() || !held.is_reported()
+                held.pending || !held.quota.available().is_zero() || !held.is_reported()
             })
     }
 
@@ -369,7 +369,7 @@
                 continue;
             }
             held.verdict_serial = verdict.serial;
-            held.purse.add(verdict.granted);
+            held.quota.add(verdict.granted);
             self.tally
                 .count_draw(DrawOutcome::of(held.asked, verdict.granted));
             held.pending &= verdict.serial < held.draw_serial;
@@ -411,7 +411,7 @@
         self.unacknowledged = (number + 1 < self.batch).then_some(now);
         let mut pending = false;
         for held in self.held.values_mut() {
-            held.purse.acknowledge(number);
+            held.quota.acknowledge(number);
             held.changed.notify_waiters();
             pending |= held.pending;
         }
--- a/crates/hibiscus-traffic/src/budgets/recovery.rs
+++ b/crates/hibiscus-traffic/src/budgets/recovery.rs
@@ -8,7 +8,7 @@
 use hibiscus_ledger::account::AccountFold;
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_ledger::account::HolderAccount;
-use hibiscus_ledger::account::pace::MachineTime;
+use hibiscus_ledger::account::limit::MachineTime;
 use hibiscus_ledger::account::snapshot::AccountSnapshot;
 use hibiscus_ledger::account::snapshot::SNAPSHOT_INTERVAL;
 use hibiscus_types::BudgetName;
@@ -16,10 +16,10 @@
 use hibiscus_types::InstanceName;
 use hibiscus_types::TokenCount;
 
-use crate::budgets::BudgetDesk;
+use crate::budgets::BudgetManager;
 use crate::budgets::RecoveryPhase;
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Begins anew with snapshots, since the records before `first` are gone.
     pub fn resume(&mut self, first: u64, snapshots: Vec<AccountSnapshot>) {
         let (fold, stale) = AccountFold::resume(first, snapshots);
@@ -67,7 +67,7 @@
     /// Machines with accounts of other processes than the present ones, which
     /// `present` names. Those of the own machine are closed by
     /// [`Self::recover`].
-    pub fn strangers(
+    pub fn machines_with_ended_processes(
         &self,
         present: impl Fn(&InstanceName) -> Option<IncarnationId>,
     ) -> BTreeSet<InstanceName> {
@@ -88,7 +88,7 @@
     /// Closes the accounts of the processes of `machine` that ended before the
     /// process `present` began, as far as its clock at its start proves what
     /// they spent; returns how many are left.
-    pub fn close_stranger(
+    pub fn close_machine(
         &mut self,
         machine: &InstanceName,
         present: IncarnationId,
@@ -97,9 +97,9 @@
         self.close_ended("clock", machine, present, |held| held.spent_by_clock(began))
     }
 
-    /// As [`Self::close_stranger`], for processes that had ended at the time of
+    /// As [`Self::close_machine`], for processes that had ended at the time of
     /// day `ended`, in milliseconds since the Unix epoch, if one is agreed on.
-    pub fn close_stranger_by_agreement(
+    pub fn close_machine_by_agreement(
         &mut self,
         machine: &InstanceName,
         present: IncarnationId,
@@ -129,7 +129,7 @@
                     open += 1;
                     continue;
                 };
-                let line = held.report.as_ref().map(|report| report.pace);
+                let line = held.report.as_ref().map(|report| report.limit);
                 let line = line.unwrap_or_default();
                 event!(
                     EventCode::AccountClosed,
--- a/crates/hibiscus-traffic/src/budgets/review.rs
+++ b/crates/hibiscus-traffic/src/budgets/review.rs
@@ -6,15 +6,15 @@
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_ledger::account::BudgetAccount;
 use hibiscus_ledger::account::HolderReport;
-use hibiscus_ledger::account::pace::SpendPace;
+use hibiscus_ledger::account::limit::SpendingLimit;
 use hibiscus_ledger::account::policy;
 use hibiscus_ledger::account::policy::DrawDecision;
-use hibiscus_ledger::account::policy::DrawView;
-use hibiscus_ledger::account::policy::HolderDuty;
+use hibiscus_ledger::account::policy::DrawInputs;
+use hibiscus_ledger::account::policy::DrawMode;
 use hibiscus_types::BudgetName;
 
 use crate::budgets::AccountBatch;
-use crate::budgets::BudgetDesk;
+use crate::budgets::BudgetManager;
 use crate::budgets::BudgetRole;
 
 /// Age from which on the line of a holder that spends nothing is made anew: a
@@ -26,7 +26,7 @@
 /// Time after which a total that the stream does not show is written again.
 const TOTAL_REPEAT: Duration = Duration::from_secs(1);
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Decides on draws, returns and reports, and hands the records to the
     /// thread that appends. `role_of` tells what this instance does for a
     /// budget.
@@ -34,11 +34,11 @@
         let names: Vec<BudgetName> = self.totals.keys().cloned().collect();
         for budget in names {
             let role = role_of(&budget);
-            if role.duty == HolderDuty::Relieved && !self.held.contains_key(&budget) {
+            if role.mode == DrawMode::Release && !self.held.contains_key(&budget) {
                 continue;
             }
             self.review_one(&budget, role, now);
-            if role.keeps && self.is_snapshot_due(&budget, now) {
+            if role.writes_snapshots && self.is_snapshot_due(&budget, now) {
                 self.write_snapshot(&budget, now);
             }
         }
@@ -56,7 +56,7 @@
     }
 
     /// A planned stop has begun.
-    pub fn begin_stop(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.stopping = true;
     }
 
@@ -72,21 +72,21 @@
     }
 
     /// Whether all that the store has of this holder was read back.
-    pub fn is_read_back(&self) -> bool {
+    pub fn has_read_own_records(&self) -> bool {
         self.fold.next_offset() >= self.appended
     }
 
     /// Gives back all that no request has reserved, at the end of a planned
     /// stop, and closes the accounts if no request is left: an account that
     /// nobody closes stays in the store's snapshots for ever.
-    pub fn give_all_back(&mut self, now: Duration) {
+    pub fn return_all_tokens(&mut self, now: Duration) {
         let mut held = self.held.values();
-        self.closed = held.all(|held| held.purse.reserved().is_zero() && held.wanted.is_zero());
+        self.closed = held.all(|held| held.quota.reserved().is_zero() && held.wanted.is_zero());
         let names: Vec<BudgetName> = self.held.keys().cloned().collect();
         for budget in names {
             if let Some(held) = self.held.get_mut(&budget) {
-                let available = held.purse.available();
-                held.purse.give_back(available);
+                let available = held.quota.available();
+                held.quota.give_back(available);
             }
             self.report(&budget, &DrawDecision::default(), now);
             if self.closed {
@@ -105,13 +105,13 @@
         self.unsent.push(AccountRecord::Close {
             budget: budget.clone(),
             holder: self.holder,
-            spent: held.purse.spent(),
+            spent: held.quota.spent(),
         });
     }
 
     /// Queues the total of the configuration if the stream shows another. The
     /// first holder does so at once, the others if it did not.
-    fn write_total(&mut self, budget: &BudgetName, keeps: bool, now: Duration) {
+    fn write_total(&mut self, budget: &BudgetName, writes_snapshots: bool, now: Duration) {
         let waits = self.waiting.contains(budget);
         let Some(total) = self.totals.get_mut(budget) else {
             return;
@@ -120,7 +120,7 @@
         let is_new = known
             .is_none_or(|known| known.version < total.version && known.prepaid != total.tokens);
         let seen = *total.seen.get_or_insert(now);
-        let is_due = keeps || waits || now.saturating_sub(seen) >= TOTAL_WAIT;
+        let is_due = writes_snapshots || waits || now.saturating_sub(seen) >= TOTAL_WAIT;
         let written = total.written.map(|at| now.saturating_sub(at));
         if !is_new || !is_due || written.is_some_and(|written| written < TOTAL_REPEAT) {
             return;
@@ -138,17 +138,17 @@
             return;
         }
         self.tally.reviews.add();
-        if role.duty != HolderDuty::Relieved {
-            self.write_total(budget, role.keeps, now);
+        if role.mode != DrawMode::Release {
+            self.write_total(budget, role.writes_snapshots, now);
         }
         let held = self.held.entry(budget.clone()).or_default();
         let account = self.fold.budget(budget);
         let total = self.totals.get(budget).map(|total| total.tokens);
         let prepaid = account.map(|account| account.prepaid).or(total);
-        let view = DrawView {
+        let view = DrawInputs {
             demand_per_second: held.demand.rate(now),
             wanted: held.wanted,
-            available: held.purse.available(),
+            available: held.quota.available(),
             free: account
                 .map(BudgetAccount::free)
                 .or(total)
@@ -160,7 +160,7 @@
             holders: role.holders,
             store_delay: self.store_delay,
             stopping: self.stopping,
-            duty: role.duty,
+            mode: role.mode,
         };
         let decision = policy::decide(&view);
         if !held.pending && !decision.draw.is_zero() {
@@ -175,19 +175,19 @@
                 tokens: decision.draw,
             });
         }
-        if held.purse.has_unacknowledged() {
+        if held.quota.has_unacknowledged() {
             return;
         }
         let returns = !decision.give_back.is_zero();
         if returns {
-            held.purse.give_back(decision.give_back);
+            held.quota.give_back(decision.give_back);
         }
-        let sums = (held.purse.used(), held.purse.returned());
+        let sums = (held.quota.used(), held.quota.returned());
         let due = sums != held.reported
             && now.saturating_sub(held.report_made) >= decision.report_interval;
         let first = held.report_serial == 0 && held.draw_serial > 0;
         let age = now.saturating_sub(held.report_made);
-        let idle = age >= IDLE_INTERVAL && !held.purse.available().is_zero();
+        let idle = age >= IDLE_INTERVAL && !held.quota.available().is_zero();
         if first || idle || returns || due || !held.wanted.is_zero() {
             self.report(budget, &decision, now);
         }
@@ -198,27 +198,27 @@
         let Some(held) = self.held.get_mut(budget) else {
             return;
         };
-        let pace = SpendPace {
-            base: held.purse.used() + held.wanted,
+        let limit = SpendingLimit {
+            base: held.quota.used() + held.wanted,
             burst: decision.burst,
             per_second: decision.per_second,
-            made: self.clock.now(),
+            created_at: self.clock.now(),
             grows_after: u64::try_from(decision.grows_after.as_millis()).unwrap_or(u64::MAX),
         };
-        held.purse.send_pace(self.batch, pace);
+        held.quota.send_pace(self.batch, limit);
         held.report_serial += 1;
         held.report_made = now;
-        held.reported = (held.purse.used(), held.purse.returned());
+        held.reported = (held.quota.used(), held.quota.returned());
         self.unsent.push(AccountRecord::Report(HolderReport {
             budget: budget.clone(),
             holder: self.holder,
             serial: held.report_serial,
-            spent: held.purse.spent(),
-            returned: held.purse.returned(),
-            pace,
-            made_after: self.passed.at(pace.made),
+            spent: held.quota.spent(),
+            returned: held.quota.returned(),
+            limit,
+            created_after: self.passed.at(limit.created_at),
             demand: held.demand.rate(now) as u64,
-            passed_on: held.passed_on(now),
+            transferred: held.transferred(now),
         }));
     }
 
--- a/crates/hibiscus-traffic/src/budgets/tokens.rs
+++ b/crates/hibiscus-traffic/src/budgets/tokens.rs
@@ -6,14 +6,14 @@
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
 use hibiscus_ledger::account::BudgetAccount;
-use hibiscus_ledger::account::purse::HoldFault;
-use hibiscus_ledger::account::purse::HoldSource;
-use hibiscus_ledger::account::purse::TokenHold;
+use hibiscus_ledger::account::quota::QuotaReservation;
+use hibiscus_ledger::account::quota::ReservationError;
+use hibiscus_ledger::account::quota::TokenSource;
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
 use tokio::sync::Notify;
 
-use crate::budgets::BudgetDesk;
+use crate::budgets::BudgetManager;
 use crate::budgets::HeldBudget;
 use crate::budgets::TokenRefusal;
 
@@ -32,14 +32,14 @@
 
 impl HeldBudget {
     /// Tokens that were passed on and may come back in part.
-    pub(super) fn passed_on(&self, now: Duration) -> TokenCount {
-        let passed = self.passed_on.iter();
+    pub(super) fn transferred(&self, now: Duration) -> TokenCount {
+        let passed = self.transferred.iter();
         let recent = passed.filter(|(passed, _tokens)| now.saturating_sub(*passed) <= RETURN_TIME);
         recent.map(|(_passed, tokens)| *tokens).sum()
     }
 }
 
-impl BudgetDesk {
+impl BudgetManager {
     /// Sets `tokens` of `budget` aside.
     ///
     /// # Errors
@@ -50,13 +50,13 @@
         budget: &BudgetName,
         tokens: TokenCount,
         now: Duration,
-    ) -> std::result::Result<TokenHold, HoldFault> {
+    ) -> std::result::Result<QuotaReservation, ReservationError> {
         if self.closed {
-            return Err(HoldFault::NotDrawn);
+            return Err(ReservationError::NotDrawn);
         }
         let held = self.held.entry(budget.clone()).or_default();
-        let hold = held.purse.reserve(tokens, self.clock.now())?;
-        if hold.source == HoldSource::Given {
+        let hold = held.quota.reserve(tokens, self.clock.now())?;
+        if hold.source == TokenSource::Transferred {
             held.given_used = now;
         }
         Ok(hold)
@@ -72,15 +72,15 @@
     pub fn settle(
         &mut self,
         budget: &BudgetName,
-        hold: TokenHold,
+        hold: QuotaReservation,
         charge: TokenCount,
         now: Duration,
     ) {
         let held = self.held.entry(budget.clone()).or_default();
-        if hold.source == HoldSource::Given {
+        if hold.source == TokenSource::Transferred {
             held.given_used = now;
         }
-        held.purse.settle(hold, charge);
+        held.quota.settle(hold, charge);
         held.demand.settle(hold.tokens, charge);
         held.changed.notify_waiters();
     }
@@ -96,7 +96,7 @@
         let waiting = self.unacknowledged.map(|since| now.saturating_sub(since));
         let held = self.held.get(budget);
         if waiting.is_some_and(|waiting| waiting > STORE_PATIENCE) {
-            let wait = held.and_then(|held| held.purse.waits_for(tokens, self.clock.now()));
+            let wait = held.and_then(|held| held.quota.waits_for(tokens, self.clock.now()));
             let wait = wait.map(|millis| u32::try_from(millis).unwrap_or(u32::MAX));
             return Some(wait.map_or(TokenRefusal::Unconfirmed, TokenRefusal::Later));
         }
@@ -105,7 +105,7 @@
         }
         let account = self.fold.budget(budget)?;
         let here = held.map_or(TokenCount::ZERO, |held| {
-            held.purse.available() + held.purse.given()
+            held.quota.available() + held.quota.given()
         });
         let returning = held.map_or(TokenCount::ZERO, |held| self.returning(account, held));
         let reachable = here + account.free() + returning;
@@ -113,10 +113,10 @@
             return None;
         }
         let elsewhere = self.unreported_elsewhere(account);
-        let reserved = held.map_or(TokenCount::ZERO, |held| held.purse.reserved());
-        let passed_on = held.map_or(TokenCount::ZERO, |held| held.passed_on(now));
+        let reserved = held.map_or(TokenCount::ZERO, |held| held.quota.reserved());
+        let transferred = held.map_or(TokenCount::ZERO, |held| held.transferred(now));
         let is_fresh = now.saturating_sub(self.heard) <= PROOF_AGE;
-        if is_fresh && tokens > reachable + elsewhere + reserved + passed_on {
+        if is_fresh && tokens > reachable + elsewhere + reserved + transferred {
             Some(TokenRefusal::Spent)
         } else {
             Some(TokenRefusal::Unconfirmed)
@@ -128,43 +128,43 @@
     fn returning(&self, account: &BudgetAccount, held: &HeldBudget) -> TokenCount {
         let known = account.holders.get(&self.holder);
         let known = known.map_or(TokenCount::ZERO, |known| known.returned);
-        held.purse.returned().saturating_sub(known)
+        held.quota.returned().saturating_sub(known)
     }
 
     /// Takes tokens over that another instance gave.
     pub fn add_given(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let held = self.held.entry(budget.clone()).or_default();
-        held.purse.add_given(tokens);
+        held.quota.add_given(tokens);
         held.given_used = now;
         held.changed.notify_waiters();
     }
 
     /// Takes tokens back that an instance has no use for.
-    pub fn take_back(&mut self, budget: &BudgetName, tokens: TokenCount) {
+    pub fn refund(&mut self, budget: &BudgetName, tokens: TokenCount) {
         let held = self.held.entry(budget.clone()).or_default();
-        held.purse.refund(tokens);
+        held.quota.refund(tokens);
         held.demand.refund(tokens);
         held.changed.notify_waiters();
     }
 
     /// Ends a reservation whose tokens go to an instance that does not hold the
     /// budget: they count as spent here.
-    pub fn pass_on(&mut self, budget: &BudgetName, hold: TokenHold, now: Duration) {
+    pub fn transfer(&mut self, budget: &BudgetName, hold: QuotaReservation, now: Duration) {
         self.settle(budget, hold, hold.tokens, now);
         let held = self.held.entry(budget.clone()).or_default();
-        held.passed_on.push_back((now, hold.tokens));
-        while let Some((passed, _tokens)) = held.passed_on.front() {
+        held.transferred.push_back((now, hold.tokens));
+        while let Some((passed, _tokens)) = held.transferred.front() {
             if now.saturating_sub(*passed) <= RETURN_TIME {
                 break;
             }
-            held.passed_on.pop_front();
+            held.transferred.pop_front();
         }
     }
 
     /// Tokens of `budget` that other instances gave and no request has reserved.
     pub fn given(&self, budget: &BudgetName) -> TokenCount {
         let held = self.held.get(budget);
-        held.map_or(TokenCount::ZERO, |held| held.purse.given())
+        held.map_or(TokenCount::ZERO, |held| held.quota.given())
     }
 
     /// Takes out what other instances gave and no request has used for `rest`.
@@ -176,10 +176,10 @@
         let mut idle = Vec::new();
         for (budget, held) in &mut self.held {
             let rested = now.saturating_sub(held.given_used) >= rest;
-            if !rested || held.purse.given().is_zero() || !held.wanted.is_zero() {
+            if !rested || held.quota.given().is_zero() || !held.wanted.is_zero() {
                 continue;
             }
-            idle.push((budget.clone(), held.purse.take_given()));
+            idle.push((budget.clone(), held.quota.take_given()));
         }
         idle
     }
@@ -196,10 +196,10 @@
         event!(
             EventCode::TokensShort,
             "request={id} budget={budget} tokens={tokens} available={} used={} allowed={:?} reserved={} free={free} prepaid={prepaid} unacknowledged_ms={:?}",
-            held.purse.available(),
-            held.purse.used(),
-            held.purse.allowed(self.clock.now()).map(TokenCount::get),
-            held.purse.reserved(),
+            held.quota.available(),
+            held.quota.used(),
+            held.quota.allowed(self.clock.now()).map(TokenCount::get),
+            held.quota.reserved(),
             waiting.map(|waiting| waiting.as_millis())
         );
     }
@@ -232,9 +232,9 @@
     pub fn token_sums(&self) -> (u64, u64, u64) {
         let mut sums = (0, 0, 0);
         for held in self.held.values() {
-            sums.0 += held.purse.available().get();
-            sums.1 += held.purse.reserved().get();
-            sums.2 += held.purse.spent().get();
+            sums.0 += held.quota.available().get();
+            sums.1 += held.quota.reserved().get();
+            sums.2 += held.quota.spent().get();
         }
         sums
     }
@@ -247,15 +247,15 @@
 
     /// Says that a request waits for `tokens`; the returned signal tells of
     /// changes.
-    pub fn want(&mut self, budget: &BudgetName, tokens: TokenCount) -> Rc<Notify> {
+    pub fn add_waiter(&mut self, budget: &BudgetName, tokens: TokenCount) -> Rc<Notify> {
         let held = self.held.entry(budget.clone()).or_default();
         held.wanted = held.wanted + tokens;
         self.waiting.insert(budget.clone());
         Rc::clone(&held.changed)
     }
 
-    /// Ends [`Self::want`].
-    pub fn unwant(&mut self, budget: &BudgetName, tokens: TokenCount) {
+    /// Ends [`Self::add_waiter`].
+    pub fn remove_waiter(&mut self, budget: &BudgetName, tokens: TokenCount) {
         let held = self.held.entry(budget.clone()).or_default();
         held.wanted = held.wanted.saturating_sub(tokens);
         if held.wanted.is_zero() {
--- a/crates/hibiscus-traffic/src/clock.rs
+++ b/crates/hibiscus-traffic/src/clock.rs
@@ -7,7 +7,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::pace::MachineTime;
+use hibiscus_ledger::account::limit::MachineTime;
 use hibiscus_types::UnixMillis;
 use hibiscus_types::hash::stable_hash;
 use nix::time::ClockId;
--- a/crates/hibiscus-traffic/src/flight.rs
+++ b/crates/hibiscus-traffic/src/flight.rs
@@ -7,7 +7,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::purse::TokenHold;
+use hibiscus_ledger::account::quota::QuotaReservation;
 use hibiscus_request::print::RequestPrint;
 use hibiscus_routing::placement::PartTokens;
 use hibiscus_types::BudgetName;
@@ -33,7 +33,7 @@
 pub struct RequestCharge {
     budgets: BudgetHandle,
     budget: BudgetName,
-    hold: TokenHold,
+    hold: QuotaReservation,
     prompt: u64,
     sent: Cell<bool>,
     delivered: Cell<u64>,
@@ -41,7 +41,12 @@
 
 impl RequestCharge {
     /// The charge of a request with `prompt` tokens that `hold` pays for.
-    pub fn new(budgets: BudgetHandle, budget: BudgetName, hold: TokenHold, prompt: u64) -> Self {
+    pub fn new(
+        budgets: BudgetHandle,
+        budget: BudgetName,
+        hold: QuotaReservation,
+        prompt: u64,
+    ) -> Self {
         Self {
             budgets,
             budget,
--- a/crates/hibiscus-traffic/src/holders.rs
+++ b/crates/hibiscus-traffic/src/holders.rs
@@ -23,7 +23,7 @@
 
 /// Instances that draw of a budget: enough that several may fail at once. A
 /// fleet of no more has no others.
-pub const HOLDERS: usize = 8;
+pub const HOLDERS_PER_BUDGET: usize = 8;
 /// Time for which a holder that had no tokens is asked after the others.
 const REFUSAL_REST: Duration = Duration::from_secs(1);
 /// Refusals remembered.
@@ -72,7 +72,7 @@
     }
     rounds.sort_by_key(|(before, place, _entry)| (*before, *place));
     let holders = rounds.into_iter().map(|(_before, _place, entry)| entry);
-    holders.take(HOLDERS).collect()
+    holders.take(HOLDERS_PER_BUDGET).collect()
 }
 
 /// The instances that may hold: the large machines, if these are enough.
@@ -81,8 +81,8 @@
     let least = f64::from(largest.unwrap_or_default()) * LARGE_PART;
     let is_large = |entry: &&InstanceEntry| f64::from(entry.capacity) >= least;
     let count = answering.iter().filter(|entry| is_large(entry)).count();
-    let places = u64::try_from(count * GROUPS_OF_LARGE / HOLDERS).unwrap_or(u64::MAX);
-    if count < HOLDERS || places < groups {
+    let places = u64::try_from(count * GROUPS_OF_LARGE / HOLDERS_PER_BUDGET).unwrap_or(u64::MAX);
+    if count < HOLDERS_PER_BUDGET || places < groups {
         return answering;
     }
     answering.into_iter().filter(is_large).collect()
@@ -153,14 +153,14 @@
 
 /// Holders that lately had no tokens of a budget, or did not answer.
 #[derive(Clone, Debug, Default)]
-pub struct HolderRefusals {
+pub struct HolderFailures {
     refused: BTreeMap<(BudgetName, SocketAddr), Duration>,
     silent: BTreeMap<SocketAddr, Duration>,
     /// When each of them answered last.
     answered: BTreeMap<SocketAddr, Duration>,
 }
 
-impl HolderRefusals {
+impl HolderFailures {
     /// Notes that `holder` had no tokens of `budget` at `now`.
     pub fn note(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
         if self.refused.len() >= REFUSALS_KEPT {
@@ -172,7 +172,7 @@
     }
 
     /// Notes that `holder` did not answer at `now`.
-    pub fn note_silent(&mut self, holder: SocketAddr, now: Duration) {
+    pub fn note_no_response(&mut self, holder: SocketAddr, now: Duration) {
         if self.silent.len() >= REFUSALS_KEPT {
             self.silent.retain(|_holder, at| is_recent(*at, now));
         }
@@ -205,7 +205,7 @@
     }
 
     /// Notes that `holder` answered at `now`.
-    pub fn note_answer(&mut self, holder: SocketAddr, now: Duration) {
+    pub fn note_response(&mut self, holder: SocketAddr, now: Duration) {
         self.silent.remove(&holder);
         if self.answered.len() >= REFUSALS_KEPT {
             self.answered.retain(|_holder, at| is_recent(*at, now));
@@ -216,12 +216,12 @@
     /// Notes that `holder` has not answered a question about `budget` for a
     /// while: it waits for the store, or is silent if it answered no other
     /// question either.
-    pub fn note_late(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
+    pub fn note_late_response(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
         let answered = self.answered.get(&holder);
         if answered.is_some_and(|at| is_recent(*at, now)) {
             self.note(budget, holder, now);
         } else {
-            self.note_silent(holder, now);
+            self.note_no_response(holder, now);
         }
     }
 }
--- a/crates/hibiscus-traffic/src/lib.rs
+++ b/crates/hibiscus-traffic/src/lib.rs
@@ -17,7 +17,7 @@
 //!   watched ([`probe`]) and passes on what watchers find.
 //! - [`measures`] counts what passes and [`tally`] the work for the fleet, for
 //!   the operators' metrics; [`machine`] tells what the process uses.
-//! - [`shares`] divides the machine's memory among them; [`relief`] says what to
+//! - [`shares`] divides the machine's memory among them; [`memory_pressure`] says what to
 //!   give up as it runs out.
 //! - [`relays`] says which instances read the operators' configuration and the
 //!   servers' entries as they come, [`change`] and [`server_news`] what they pass
@@ -45,15 +45,14 @@
 pub mod machine;
 pub mod measures;
 pub mod members;
+pub mod memory_pressure;
 pub mod model;
 pub mod peers;
 pub mod port;
-pub mod pressure;
 pub mod probe;
 pub mod recovery;
 pub mod relay;
 pub mod relays;
-pub mod relief;
 pub mod retries;
 pub mod roster;
 pub mod send;
@@ -68,3 +67,4 @@
 pub mod table;
 pub mod tally;
 pub mod updates;
+pub mod usage_log;
--- a/crates/hibiscus-traffic/src/life/reservation.rs
+++ b/crates/hibiscus-traffic/src/life/reservation.rs
@@ -47,7 +47,7 @@
             TokenRefusal::Spent => OwnReason::BudgetSpent,
             TokenRefusal::Unconfirmed | TokenRefusal::Later(_) => OwnReason::BudgetUnconfirmed,
         },
-        chance: refusal.chance(),
+        chance: refusal.retry_after(),
     })?;
     let charge = RequestCharge::new(
         state.budgets.clone(),
--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -15,7 +15,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::pace::MachineTime;
+use hibiscus_ledger::account::limit::MachineTime;
 use hibiscus_membership::verdict::SilenceMessage;
 use hibiscus_peer::PinnedCall;
 use hibiscus_peer::PinnedLink;
@@ -114,7 +114,7 @@
     mut calls: mpsc::Receiver<PinnedCall>,
 ) {
     while let Some(call) = calls.recv().await {
-        state.tally.link_asked.add();
+        state.tally.link_requests.add();
         let question = match codec::decode::<PeerQuestion>(&call.body) {
             Ok(question) => question,
             Err(error) => {
@@ -152,7 +152,7 @@
     if let (PeerQuestion::Reserve { budget, .. }, PeerAnswer::Reserved(tokens)) =
         (&question, &answer)
     {
-        state.budgets.take_back(budget, *tokens);
+        state.budgets.refund(budget, *tokens);
     }
 }
 
@@ -164,7 +164,7 @@
     match question {
         PeerQuestion::Tokens { .. } => PeerAnswer::Tokens(TokenCount::ZERO),
         PeerQuestion::Process => {
-            let (incarnation, began, age) = state.budgets.process();
+            let (incarnation, began, age) = state.budgets.process_start();
             PeerAnswer::Process(PeerProcess {
                 incarnation,
                 began,
@@ -173,7 +173,7 @@
         }
         PeerQuestion::TimeOfDay => PeerAnswer::TimeOfDay(UnixMillis::now().get()),
         PeerQuestion::Reserve { budget, tokens } => {
-            match supply::pass_on(state, budget, *tokens).await {
+            match supply::transfer(state, budget, *tokens).await {
                 Ok(()) => PeerAnswer::Reserved(*tokens),
                 Err(refusal) => PeerAnswer::Refused(refusal),
             }
@@ -182,7 +182,7 @@
             PeerAnswer::Refused(TokenRefusal::Unconfirmed)
         }
         PeerQuestion::Return { budget, tokens } => {
-            state.budgets.take_back(budget, *tokens);
+            state.budgets.refund(budget, *tokens);
             PeerAnswer::Returned
         }
         PeerQuestion::Silence(message) => {
--- a/crates/hibiscus-traffic/src/probe.rs
+++ b/crates/hibiscus-traffic/src/probe.rs
@@ -18,8 +18,8 @@
 use crate::idle::IdleLink;
 use crate::model::InstanceEntry;
 use crate::state::TrafficState;
-use crate::tally::QuestionOutcome;
-use crate::tally::QuestionSubject;
+use crate::tally::PeerRequestKind;
+use crate::tally::PeerRequestOutcome;
 use crate::updates::TrafficUpdate;
 
 /// Time between two questions: callers are told of a death within a second.
@@ -47,13 +47,13 @@
         let answer = tokio::time::timeout(ANSWER_LIMIT, asked).await;
         let serves = matches!(answer, Ok(Some(StatusCode::OK)));
         let outcome = match answer {
-            Ok(Some(_status)) if serves => QuestionOutcome::Answered,
-            Ok(Some(_status)) => QuestionOutcome::Refused,
-            _ => QuestionOutcome::Unanswered,
+            Ok(Some(_status)) if serves => PeerRequestOutcome::Answered,
+            Ok(Some(_status)) => PeerRequestOutcome::Refused,
+            _ => PeerRequestOutcome::Unanswered,
         };
         state
             .tally
-            .count_question(QuestionSubject::Readiness, outcome);
+            .count_peer_request(PeerRequestKind::Readiness, outcome);
         if !matches!(answer, Ok(Some(_))) {
             link = None;
         }
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -42,7 +42,7 @@
 /// by then may never be.
 const GIVE_UP_TIME: Duration = Duration::from_secs(6);
 
-/// Waits until the account stream was read, and closes by agreement what was
+/// OnDemand until the account stream was read, and closes by agreement what was
 /// left without a proof.
 pub async fn close_unproven<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     while state.budgets.recovery() == RecoveryPhase::Reading {
@@ -52,7 +52,7 @@
         return;
     }
     let readings = gather_readings(&state, state.now()).await;
-    let ended = agreement::latest_agreed(&readings);
+    let ended = agreement::agreed_upper_bound(&readings);
     event!(
         EventCode::TimeAgreed,
         "readings={readings:?} ended={ended:?}"
@@ -63,25 +63,25 @@
 
 /// Closes the accounts of processes that ended on other machines for as long as
 /// the runtime runs.
-pub async fn close_strangers<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn close_ended_processes<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
         tokio::time::sleep(STRANGERS_PAUSE).await;
         if state.budgets.recovery() == RecoveryPhase::Reading || !state.keeps_accounts() {
             continue;
         }
-        let strangers = {
+        let machines_with_ended_processes = {
             let directory = state.directory.borrow();
             let present = |name: &InstanceName| Some(directory.find(name)?.incarnation);
-            state.budgets.strangers(present)
+            state.budgets.machines_with_ended_processes(present)
         };
-        for machine in strangers {
+        for machine in machines_with_ended_processes {
             if !running.borrow_mut().insert(machine.clone()) {
                 continue;
             }
             let (state, running) = (Rc::clone(&state), Rc::clone(&running));
             tokio::task::spawn_local(async move {
-                close_stranger(&state, &machine).await;
+                close_machine(&state, &machine).await;
                 running.borrow_mut().remove(&machine);
             });
         }
@@ -89,7 +89,7 @@
 }
 
 /// Closes what processes that ended on `machine` left.
-async fn close_stranger<D: RequestDialect>(state: &TrafficState<D>, machine: &InstanceName) {
+async fn close_machine<D: RequestDialect>(state: &TrafficState<D>, machine: &InstanceName) {
     let link = state.link.borrow().clone();
     let peer = state
         .directory
@@ -106,22 +106,20 @@
     let began = state
         .now()
         .saturating_sub(Duration::from_millis(process.age));
-    let left = state
-        .budgets
-        .close_stranger(machine, present, process.began);
+    let left = state.budgets.close_machine(machine, present, process.began);
     state.review_budgets();
     if left == 0 {
         return;
     }
     let readings = gather_readings(state, began).await;
-    let ended = agreement::latest_agreed(&readings);
+    let ended = agreement::agreed_upper_bound(&readings);
     event!(
         EventCode::TimeAgreed,
         "machine={machine} readings={readings:?} ended={ended:?}"
     );
     state
         .budgets
-        .close_stranger_by_agreement(machine, present, ended);
+        .close_machine_by_agreement(machine, present, ended);
     state.review_budgets();
 }
 
@@ -135,7 +133,7 @@
     loop {
         ask_others(state, began, &mut answers).await;
         let waited = state.now().saturating_sub(begun);
-        let enough = answers.len() + 1 >= agreement::LEAST_READINGS;
+        let enough = answers.len() + 1 >= agreement::MIN_READINGS;
         let all = answers.len() >= ASKED_LIMIT;
         if all || (enough && waited >= GATHER_TIME) || waited >= GIVE_UP_TIME {
             break;
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -18,25 +18,24 @@
 use metrics::counter;
 use tokio::sync::Notify;
 
-use crate::budgets::BudgetDesk;
 use crate::budgets::BudgetHandle;
+use crate::budgets::BudgetManager;
 use crate::callers::CallerRegistry;
 use crate::dialect::RequestDialect;
 use crate::directory::InstanceDirectory;
 use crate::endings::EndingWatch;
-use crate::holders::HolderRefusals;
+use crate::holders::HolderFailures;
 use crate::holders::HolderTable;
 use crate::machine::MachineLimits;
 use crate::machine::MachineUse;
 use crate::measures::CONFIG_VERSIONS;
 use crate::measures::TrafficLevels;
 use crate::measures::TrafficMeasures;
+use crate::memory_pressure::MemoryPressure;
+use crate::memory_pressure::PressureGauge;
 use crate::model::FleetConfig;
 use crate::model::InstanceEntry;
-use crate::pressure::PressureWatch;
 use crate::relays;
-use crate::relief::MemoryPressure;
-use crate::relief::PressureGauge;
 use crate::retries::RetryCounter;
 use crate::roster::RosterChange;
 use crate::roster::ServerRoster;
@@ -50,6 +49,7 @@
 use crate::tally::WorkTally;
 use crate::updates::ConfigArrival;
 use crate::updates::TrafficUpdate;
+use crate::usage_log::UsageLogger;
 
 /// Time for a head while no configuration is known: the usual limit.
 const FIRST_HEAD_LIMIT: Duration = Duration::from_secs(3);
@@ -62,7 +62,7 @@
     /// Where this instance is.
     pub data_centre: DataCentre,
     /// The budgets.
-    pub budgets: BudgetDesk,
+    pub budgets: BudgetManager,
     /// The retries.
     pub retries: RetryCounter,
     /// The instances.
@@ -92,7 +92,7 @@
     /// The instances.
     pub directory: RefCell<InstanceDirectory>,
     /// Holders that lately had no tokens.
-    pub refusals: RefCell<HolderRefusals>,
+    pub refusals: RefCell<HolderFailures>,
     holders: RefCell<HolderTable>,
     /// Budgets of the configuration in force.
     budget_count: Cell<usize>,
@@ -134,7 +134,7 @@
     port_closed: Cell<bool>,
     port_close: Notify,
     started: Instant,
-    pressure: PressureWatch,
+    pressure: UsageLogger,
     bounds: MemoryShares,
     gauge: RefCell<PressureGauge>,
 }
@@ -145,7 +145,7 @@
         let own = parts.directory.own().name.clone();
         Self {
             tally: Rc::clone(parts.budgets.tally()),
-            pressure: PressureWatch::new(parts.limits),
+            pressure: UsageLogger::new(parts.limits),
             bounds: parts.bounds,
             gauge: RefCell::new(PressureGauge::new(parts.bounds.memory)),
             dialect: parts.dialect,
@@ -299,7 +299,7 @@
                 }
                 self.review_waiting();
             }
-            TrafficUpdate::AccountsEnd(end) => self.budgets.note_end(end),
+            TrafficUpdate::AccountsEnd(end) => self.budgets.set_stream_end(end),
             TrafficUpdate::AccountsCurrent => {
                 self.budgets.recover();
                 self.review_budgets();
@@ -332,7 +332,7 @@
             }
             TrafficUpdate::Stop => {
                 self.stopping.set(Some(Instant::now()));
-                self.budgets.begin_stop();
+                self.budgets.begin_shutdown();
                 self.review_budgets();
                 self.directory.borrow_mut().set_ready(false);
             }
@@ -350,7 +350,7 @@
         let taken = Instant::now();
         counter!(CONFIG_VERSIONS, "source" => arrival.source.word()).increment(1);
         self.budgets.set_totals(&config);
-        self.budget_count.set(self.budgets.count());
+        self.budget_count.set(self.budgets.budget_count());
         let table = Rc::new(RouteTable::new(Arc::clone(&config)));
         *self.table.borrow_mut() = Some(table);
         self.start.note_config();
@@ -456,8 +456,8 @@
             used: MachineUse::read(),
             body_bytes: self.callers.body_bytes(),
             idle_links: servers.idle_links().len(),
-            accounts: self.budgets.accounts(),
-            account_lag: self.budgets.lag(),
+            accounts: self.budgets.account_count(),
+            account_lag: self.budgets.unread_records(),
         };
         levels.show();
         self.tally.show();
--- a/crates/hibiscus-traffic/src/state/holding.rs
+++ b/crates/hibiscus-traffic/src/state/holding.rs
@@ -4,14 +4,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hibiscus_ledger::account::policy::HolderDuty;
+use hibiscus_ledger::account::policy::DrawMode;
 use hibiscus_types::BudgetName;
 
 use crate::budgets::BudgetRole;
 use crate::dialect::RequestDialect;
 use crate::directory::InstanceDirectory;
 use crate::holders::GroupHolders;
-use crate::holders::HOLDERS;
+use crate::holders::HOLDERS_PER_BUDGET;
 use crate::state::TrafficState;
 
 /// Time for instances that start together to announce themselves and to be
@@ -36,20 +36,20 @@
     /// would else draw as if each instance were alone.
     pub(super) fn role_of(&self, directory: &InstanceDirectory, budget: &BudgetName) -> BudgetRole {
         let holders = self.group_holders(directory, budget);
-        let most = u32::try_from(HOLDERS).unwrap_or(u32::MAX);
-        let duty = if !self.knows_fleet() {
-            HolderDuty::Waits
+        let most = u32::try_from(HOLDERS_PER_BUDGET).unwrap_or(u32::MAX);
+        let mode = if !self.knows_fleet() {
+            DrawMode::OnDemand
         } else if holders.own_rank.is_none() {
-            HolderDuty::Relieved
+            DrawMode::Release
         } else if directory.reaches_most() || directory.may_serve() <= most {
-            HolderDuty::Holds
+            DrawMode::Prefetch
         } else {
-            HolderDuty::Waits
+            DrawMode::OnDemand
         };
         BudgetRole {
             holders: holders.count,
-            duty,
-            keeps: holders.own_rank == Some(0),
+            mode,
+            writes_snapshots: holders.own_rank == Some(0),
         }
     }
 
@@ -72,7 +72,7 @@
         if !self.knows_fleet() {
             return self.first_start;
         }
-        self.held_ranks(&directory).any || self.budgets.has_account()
+        self.held_ranks(&directory).any || self.budgets.has_unsettled_account()
     }
 
     /// Whether this instance closes accounts of processes that ended on other
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -14,7 +14,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::purse::TokenHold;
+use hibiscus_ledger::account::quota::QuotaReservation;
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
 use tokio::sync::mpsc;
@@ -26,8 +26,8 @@
 use crate::peers::PeerAnswer;
 use crate::peers::PeerQuestion;
 use crate::state::TrafficState;
-use crate::tally::QuestionOutcome;
-use crate::tally::QuestionSubject;
+use crate::tally::PeerRequestKind;
+use crate::tally::PeerRequestOutcome;
 
 /// Longest wait for tokens of a budget: a draw takes two store calls, each of
 /// which takes up to 0.25 s while the store is slow.
@@ -64,7 +64,7 @@
     budget: &BudgetName,
     tokens: TokenCount,
     until: Instant,
-) -> Result<TokenHold> {
+) -> Result<QuotaReservation> {
     if state.asks_for(budget) {
         return reserve_given(state, budget, tokens, until).await;
     }
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// Fails when the budget does not cover them, or when they cannot be had here.
-pub async fn pass_on<D: RequestDialect>(
+pub async fn transfer<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -100,7 +100,7 @@
         EventCode::TokensPassedOn,
         "budget={budget} tokens={tokens} refusal={refusal:?}"
     );
-    state.budgets.pass_on(budget, passed?);
+    state.budgets.transfer(budget, passed?);
     Ok(())
 }
 
@@ -111,7 +111,7 @@
         if state.asks_for(&budget) {
             tokio::task::spawn_local(send_back(Rc::clone(state), budget, tokens));
         } else {
-            state.budgets.take_back(&budget, tokens);
+            state.budgets.refund(&budget, tokens);
         }
     }
 }
@@ -155,28 +155,28 @@
     }
 }
 
-/// Waits for a draw or a report that brings the tokens.
+/// OnDemand for a draw or a report that brings the tokens.
 async fn reserve_drawn<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
     until: Instant,
-) -> Result<TokenHold> {
+) -> Result<QuotaReservation> {
     let until = until.min(Instant::now() + DRAW_WAIT);
     if let Ok(hold) = state.budgets.reserve(budget, tokens) {
         state.budgets.count_demand(budget, tokens);
         return Ok(hold);
     }
-    let want = state.budgets.want(budget, tokens);
+    let want = state.budgets.wait_for(budget, tokens);
     state.review_waiting();
     loop {
         let left = until.saturating_duration_since(Instant::now());
         let refusal = state.budgets.refusal(budget, tokens);
-        let chance = refusal.and_then(TokenRefusal::chance);
-        let wait = match (refusal, chance) {
+        let retry_after = refusal.and_then(TokenRefusal::retry_after);
+        let wait = match (refusal, retry_after) {
             (None, _) => left,
             // The line of a holder without the store allows it soon.
-            (Some(_later), Some(chance)) if chance < left => chance,
+            (Some(_later), Some(retry_after)) if retry_after < left => retry_after,
             (Some(refusal), _) => return Err(refusal),
         };
         let changed = tokio::time::timeout(wait, want.changed()).await;
@@ -198,7 +198,7 @@
     budget: &BudgetName,
     tokens: TokenCount,
     until: Instant,
-) -> Result<TokenHold> {
+) -> Result<QuotaReservation> {
     let until = until.min(Instant::now() + HOLDERS_WAIT);
     let mut holders = state.other_holders(budget);
     state
@@ -243,7 +243,10 @@
             Err(_late) => {
                 let slow = holders[asked - 1];
                 let now = state.now();
-                state.refusals.borrow_mut().note_late(budget, slow, now);
+                state
+                    .refusals
+                    .borrow_mut()
+                    .note_late_response(budget, slow, now);
             }
         }
     }
@@ -272,31 +275,36 @@
         };
         let now = state.now();
         if answer.is_some() {
-            state.refusals.borrow_mut().note_answer(holder, now);
+            state.refusals.borrow_mut().note_response(holder, now);
         }
         let (outcome, answer) = match answer {
             Some(PeerAnswer::Reserved(tokens)) => {
                 state.budgets.add_given(&budget, tokens);
-                (QuestionOutcome::Answered, Ok(()))
+                (PeerRequestOutcome::Answered, Ok(()))
             }
             Some(PeerAnswer::Refused(TokenRefusal::Spent)) => {
-                (QuestionOutcome::Refused, Err(TokenRefusal::Spent))
+                (PeerRequestOutcome::Refused, Err(TokenRefusal::Spent))
             }
             Some(PeerAnswer::Refused(refusal)) => {
                 state.refusals.borrow_mut().note(&budget, holder, now);
-                (QuestionOutcome::Refused, Err(refusal))
+                (PeerRequestOutcome::Refused, Err(refusal))
             }
-            Some(_other) => (QuestionOutcome::Refused, Err(TokenRefusal::Unconfirmed)),
+            Some(_other) => (PeerRequestOutcome::Refused, Err(TokenRefusal::Unconfirmed)),
             None => {
-                state.refusals.borrow_mut().note_silent(holder, now);
+                state.refusals.borrow_mut().note_no_response(holder, now);
                 event!(
                     EventCode::TokensNotAnswered,
                     "peer={holder} budget={budget}"
                 );
-                (QuestionOutcome::Unanswered, Err(TokenRefusal::Unconfirmed))
+                (
+                    PeerRequestOutcome::Unanswered,
+                    Err(TokenRefusal::Unconfirmed),
+                )
             }
         };
-        state.tally.count_question(QuestionSubject::Link, outcome);
+        state
+            .tally
+            .count_peer_request(PeerRequestKind::Link, outcome);
         // A request that ended needs no answer.
         let _ended = answers.send(answer);
     });
--- a/crates/hibiscus-traffic/src/tally.rs
+++ b/crates/hibiscus-traffic/src/tally.rs
@@ -10,7 +10,7 @@
 
 /// What a question to another instance is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuestionSubject {
+pub enum PeerRequestKind {
     /// Whether it serves.
     Readiness,
     /// Tokens, or the time of day.
@@ -19,7 +19,7 @@
 
 /// How a question to another instance ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuestionOutcome {
+pub enum PeerRequestOutcome {
     /// It was answered.
     Answered,
     /// The answer is that it does not serve, or gives nothing.
@@ -101,9 +101,9 @@
     /// Looks at a budget, each time counted.
     pub reviews: EventCount,
     /// Readiness questions of other instances, and of the platform.
-    pub readiness_asked: EventCount,
+    pub readiness_requests: EventCount,
     /// Questions of other instances over the link.
-    pub link_asked: EventCount,
+    pub link_requests: EventCount,
     draws: [EventCount; 3],
     readiness: [EventCount; 3],
     link: [EventCount; 3],
@@ -122,12 +122,12 @@
     }
 
     /// Counts the end of a question to another instance.
-    pub fn count_question(&self, subject: QuestionSubject, outcome: QuestionOutcome) {
+    pub fn count_peer_request(&self, subject: PeerRequestKind, outcome: PeerRequestOutcome) {
         self.questions(subject)[outcome as usize].add();
     }
 
     /// Questions about `subject` that ended so.
-    pub fn asked(&self, subject: QuestionSubject, outcome: QuestionOutcome) -> u64 {
+    pub fn asked(&self, subject: PeerRequestKind, outcome: PeerRequestOutcome) -> u64 {
         self.questions(subject)[outcome as usize].get()
     }
 
@@ -136,10 +136,10 @@
         self.closes[reason as usize].add();
     }
 
-    fn questions(&self, subject: QuestionSubject) -> &[EventCount; 3] {
+    fn questions(&self, subject: PeerRequestKind) -> &[EventCount; 3] {
         match subject {
-            QuestionSubject::Readiness => &self.readiness,
-            QuestionSubject::Link => &self.link,
+            PeerRequestKind::Readiness => &self.readiness,
+            PeerRequestKind::Link => &self.link,
         }
     }
 
@@ -151,8 +151,8 @@
             counter!("hibiscus_draws_total", "verdict" => verdict).absolute(count.get());
         }
         let subjects = [
-            ("readiness", &self.readiness, &self.readiness_asked),
-            ("link", &self.link, &self.link_asked),
+            ("readiness", &self.readiness, &self.readiness_requests),
+            ("link", &self.link, &self.link_requests),
         ];
         let outcomes = ["answered", "refused", "unanswered"];
         for (subject, counts, received) in subjects {
--- a/crates/hibiscus-traffic/src/pressure.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -14,8 +14,8 @@
 use crate::machine::MachineLimits;
 use crate::measures::TrafficLevels;
 use crate::tally::DrawOutcome;
-use crate::tally::QuestionOutcome;
-use crate::tally::QuestionSubject;
+use crate::tally::PeerRequestKind;
+use crate::tally::PeerRequestOutcome;
 use crate::tally::WorkTally;
 
 /// Part of the memory at which it nears the limit.
@@ -32,7 +32,7 @@
 
 /// Follows what the process uses of its machine.
 #[derive(Debug)]
-pub struct PressureWatch {
+pub struct UsageLogger {
     limits: MachineLimits,
     memory: RefCell<LevelWatch>,
     lateness: RefCell<LevelWatch>,
@@ -41,7 +41,7 @@
     looks: Cell<u32>,
 }
 
-impl PressureWatch {
+impl UsageLogger {
     /// Follows a process that has `limits`.
     pub fn new(limits: MachineLimits) -> Self {
         Self {
@@ -89,8 +89,8 @@
     }
 
     fn tell(&self, levels: &TrafficLevels, tally: &WorkTally) {
-        let readiness = |outcome| tally.asked(QuestionSubject::Readiness, outcome);
-        let link = |outcome| tally.asked(QuestionSubject::Link, outcome);
+        let readiness = |outcome| tally.asked(PeerRequestKind::Readiness, outcome);
+        let link = |outcome| tally.asked(PeerRequestKind::Link, outcome);
         event!(
             EventCode::LevelsShown,
             "resident_bytes={} processor_ms={} late_ms={} caller_connections={} requests={} idle_links={} instances={} accounts={} account_lag={} records={} reviews={} draws={}/{}/{} readiness={}/{}/{} link={}/{}/{} asked={}/{} retries_left={:.1}",
@@ -108,14 +108,14 @@
             tally.draws(DrawOutcome::Whole),
             tally.draws(DrawOutcome::Part),
             tally.draws(DrawOutcome::Nothing),
-            readiness(QuestionOutcome::Answered),
-            readiness(QuestionOutcome::Refused),
-            readiness(QuestionOutcome::Unanswered),
-            link(QuestionOutcome::Answered),
-            link(QuestionOutcome::Refused),
-            link(QuestionOutcome::Unanswered),
-            tally.readiness_asked.get(),
-            tally.link_asked.get(),
+            readiness(PeerRequestOutcome::Answered),
+            readiness(PeerRequestOutcome::Refused),
+            readiness(PeerRequestOutcome::Unanswered),
+            link(PeerRequestOutcome::Answered),
+            link(PeerRequestOutcome::Refused),
+            link(PeerRequestOutcome::Unanswered),
+            tally.readiness_requests.get(),
+            tally.link_requests.get(),
             levels.retries_left
         );
     }
--- a/crates/hibiscus-traffic/tests/budgets.rs
+++ b/crates/hibiscus-traffic/tests/budgets.rs
@@ -9,11 +9,11 @@
 use hibiscus_ledger::account::AccountFold;
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_ledger::account::HolderReport;
-use hibiscus_ledger::account::pace::SpendPace;
-use hibiscus_ledger::account::policy::HolderDuty;
-use hibiscus_ledger::account::purse::HoldFault;
+use hibiscus_ledger::account::limit::SpendingLimit;
+use hibiscus_ledger::account::policy::DrawMode;
+use hibiscus_ledger::account::quota::ReservationError;
 use hibiscus_traffic::budgets::AccountBatch;
-use hibiscus_traffic::budgets::BudgetDesk;
+use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::budgets::BudgetRole;
 use hibiscus_traffic::budgets::TokenRefusal;
 use hibiscus_traffic::clock::MachineClock;
@@ -28,17 +28,17 @@
 const PREPAID: u64 = 700_000;
 
 /// The role of one of seven holders.
-fn role(keeps: bool) -> BudgetRole {
+fn role(writes_snapshots: bool) -> BudgetRole {
     BudgetRole {
         holders: 7,
-        duty: HolderDuty::Holds,
-        keeps,
+        mode: DrawMode::Prefetch,
+        writes_snapshots,
     }
 }
 
 /// A desk, and the stream that its batches go to.
 struct DeskCase {
-    desk: BudgetDesk,
+    desk: BudgetManager,
     batches: Receiver<AccountBatch>,
     offset: u64,
 }
@@ -48,7 +48,7 @@
         let (outbox, batches) = mpsc::sync_channel(16);
         let clock = MachineClock::of_this_boot();
         let own = instance(0);
-        let mut desk = BudgetDesk::new(own.incarnation, own.name, clock, outbox);
+        let mut desk = BudgetManager::new(own.incarnation, own.name, clock, outbox);
         desk.set_totals(&config(1, PREPAID));
         desk.recover();
         Self {
@@ -87,7 +87,7 @@
     assert!(case.review(Duration::from_millis(1_500)).is_empty());
     let reports = case.review(Duration::from_millis(2_100));
     assert_eq!(reports.len(), 1);
-    let line = reports[0].pace;
+    let line = reports[0].limit;
     assert!(line.base.is_zero());
     // Half of the first draw, a tenth of the total among seven, at the most.
     let most = TokenCount::new(PREPAID / 10 / 7 / 2);
@@ -120,7 +120,7 @@
     let now = Duration::ZERO;
     // The first draw is on its way when the stop ends.
     case.desk.review(|_budget| role(true), now);
-    case.desk.give_all_back(now);
+    case.desk.return_all_tokens(now);
     let mut fold = AccountFold::default();
     while let Ok(batch) = case.batches.try_recv() {
         let record = codec::encode(&batch.records).expect("records are encoded");
@@ -145,7 +145,7 @@
         .desk
         .reserve(&budget, TokenCount::new(10), Duration::ZERO);
     assert!(hold.is_ok(), "{hold:?}");
-    case.desk.give_all_back(Duration::from_secs(1));
+    case.desk.return_all_tokens(Duration::from_secs(1));
     let batch = case.batches.try_recv().expect("a batch");
     let mut records = batch.records.iter();
     assert!(!records.any(|record| matches!(record, AccountRecord::Close { .. })));
@@ -168,7 +168,7 @@
     });
     let more = drawn.expect("a draw") + TokenCount::new(1);
     let reserved = case.desk.reserve(&budget, more, Duration::ZERO);
-    assert_eq!(reserved, Err(HoldFault::NotDrawn));
+    assert_eq!(reserved, Err(ReservationError::NotDrawn));
 }
 
 /// Guards against a refusal for good while tokens that another holder passed
@@ -194,10 +194,10 @@
             serial: 1,
             spent: passed,
             returned: TokenCount::ZERO,
-            pace: SpendPace::default(),
-            made_after: None,
+            limit: SpendingLimit::default(),
+            created_after: None,
             demand: 0,
-            passed_on: passed,
+            transferred: passed,
         }),
     ];
     let record = codec::encode(&records).expect("records are encoded");
@@ -219,7 +219,7 @@
     case.review(Duration::ZERO);
     let budget = budget(0);
     let relieved = BudgetRole {
-        duty: HolderDuty::Relieved,
+        mode: DrawMode::Release,
         ..role(false)
     };
     let now = Duration::from_millis(800);
@@ -241,7 +241,7 @@
 #[test]
 fn a_holder_that_has_closed_its_accounts_draws_for_no_request() {
     let mut case = DeskCase::start();
-    case.desk.give_all_back(Duration::ZERO);
+    case.desk.return_all_tokens(Duration::ZERO);
     assert!(case.desk.is_closed());
     let _sent: Vec<AccountBatch> = case.batches.try_iter().collect();
     case.desk
--- a/crates/hibiscus-traffic/tests/holders.rs
+++ b/crates/hibiscus-traffic/tests/holders.rs
@@ -10,14 +10,14 @@
 
 use hibiscus_ledger::account::AccountFold;
 use hibiscus_ledger::account::AccountRecord;
-use hibiscus_ledger::account::policy::HolderDuty;
+use hibiscus_ledger::account::policy::DrawMode;
 use hibiscus_traffic::budgets::AccountBatch;
-use hibiscus_traffic::budgets::BudgetDesk;
+use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::budgets::BudgetRole;
 use hibiscus_traffic::clock::MachineClock;
 use hibiscus_traffic::holders;
-use hibiscus_traffic::holders::HOLDERS;
-use hibiscus_traffic::holders::HolderRefusals;
+use hibiscus_traffic::holders::HOLDERS_PER_BUDGET;
+use hibiscus_traffic::holders::HolderFailures;
 use hibiscus_traffic::model::InstanceEntry;
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
@@ -77,7 +77,7 @@
         after.retain(|entry| entry.name != dead);
         let kept = holders_in(&after, BUDGETS, number);
         let kept = kept.iter().filter(|entry| holders.contains(entry));
-        assert_eq!(kept.count(), HOLDERS - 1);
+        assert_eq!(kept.count(), HOLDERS_PER_BUDGET - 1);
     }
 }
 
@@ -90,14 +90,14 @@
         entry.capacity = if number < 18 { 500 } else { 120 };
     }
     let holders = holders_in(&fleet, 40, 7);
-    assert_eq!(holders.len(), HOLDERS);
+    assert_eq!(holders.len(), HOLDERS_PER_BUDGET);
     assert!(holders.iter().all(|holder| holder.capacity == 500));
     let centres: BTreeSet<_> = holders.iter().map(|holder| &holder.data_centre).collect();
     assert_eq!(centres.len(), 4);
     // With most of the large ones gone the others take part.
     fleet.drain(..12);
     let holders = holders_in(&fleet, 40, 7);
-    assert_eq!(holders.len(), HOLDERS);
+    assert_eq!(holders.len(), HOLDERS_PER_BUDGET);
     // With many groups the large ones alone would hold too much.
     let groups = holders::group_count(130_000);
     let mut all = BTreeSet::new();
@@ -131,8 +131,8 @@
 #[test]
 fn a_silent_holder_is_asked_by_one_request_a_second() {
     let addresses: Vec<SocketAddr> = fleet(3).iter().map(|entry| entry.peers).collect();
-    let mut refusals = HolderRefusals::default();
-    refusals.note_silent(addresses[0], Duration::ZERO);
+    let mut refusals = HolderFailures::default();
+    refusals.note_no_response(addresses[0], Duration::ZERO);
     let mut asked = Vec::new();
     for tick in 0..300 {
         let now = Duration::from_millis(tick * 10);
@@ -143,7 +143,7 @@
         }
     }
     assert_eq!(asked, [1_000, 2_000]);
-    refusals.note_answer(addresses[0], Duration::from_secs(3));
+    refusals.note_response(addresses[0], Duration::from_secs(3));
     let mut holders = addresses.clone();
     refusals.choose(&budget(1), &mut holders, Duration::from_secs(3));
     assert_eq!(holders, addresses);
@@ -154,11 +154,11 @@
 #[test]
 fn a_holder_that_answers_others_slowly_is_asked_last_and_not_left_out() {
     let addresses: Vec<SocketAddr> = fleet(3).iter().map(|entry| entry.peers).collect();
-    let mut refusals = HolderRefusals::default();
+    let mut refusals = HolderFailures::default();
     let now = Duration::from_secs(5);
-    refusals.note_answer(addresses[0], now - Duration::from_millis(500));
-    refusals.note_late(&budget(1), addresses[0], now);
-    refusals.note_late(&budget(1), addresses[1], now);
+    refusals.note_response(addresses[0], now - Duration::from_millis(500));
+    refusals.note_late_response(&budget(1), addresses[0], now);
+    refusals.note_late_response(&budget(1), addresses[1], now);
     let mut holders = addresses.clone();
     refusals.choose(&budget(1), &mut holders, now);
     assert_eq!(holders, [addresses[2], addresses[0]]);
@@ -169,7 +169,7 @@
 #[test]
 fn a_holder_that_had_no_tokens_is_asked_after_the_others_for_a_while() {
     let addresses: Vec<SocketAddr> = fleet(4).iter().map(|entry| entry.peers).collect();
-    let mut refusals = HolderRefusals::default();
+    let mut refusals = HolderFailures::default();
     let begun = Duration::from_secs(10);
     refusals.note(&budget(1), addresses[0], begun);
     let sorted = |number: usize, now: Duration| {
@@ -185,7 +185,7 @@
 
 /// The desks of a fleet that share one store.
 struct DeskFleet {
-    desks: Vec<(InstanceEntry, BudgetDesk, Receiver<AccountBatch>)>,
+    desks: Vec<(InstanceEntry, BudgetManager, Receiver<AccountBatch>)>,
     fold: AccountFold,
     /// Draws and reports; totals are written once a configuration.
     records: usize,
@@ -197,7 +197,7 @@
         for entry in fleet(size) {
             let (outbox, batches) = mpsc::sync_channel(16);
             let clock = MachineClock::of_this_boot();
-            let mut desk = BudgetDesk::new(entry.incarnation, entry.name.clone(), clock, outbox);
+            let mut desk = BudgetManager::new(entry.incarnation, entry.name.clone(), clock, outbox);
             desk.set_totals(&config(BUDGETS, PREPAID));
             desk.recover();
             desks.push((entry, desk, batches));
@@ -225,12 +225,12 @@
                 let is_holder = holders.iter().any(|holder| holder.name == entry.name);
                 BudgetRole {
                     holders: u32::try_from(holders.len()).unwrap_or(u32::MAX),
-                    duty: if is_holder {
-                        HolderDuty::Holds
+                    mode: if is_holder {
+                        DrawMode::Prefetch
                     } else {
-                        HolderDuty::Relieved
+                        DrawMode::Release
                     },
-                    keeps: holders[0].name == entry.name,
+                    writes_snapshots: holders[0].name == entry.name,
                 }
             };
             desk.review(role_of, now);
@@ -263,7 +263,7 @@
     }
     let accounts = fleet.fold.budgets().values();
     let accounts: usize = accounts.map(|account| account.holders.len()).sum();
-    assert_eq!(accounts, BUDGETS * HOLDERS);
+    assert_eq!(accounts, BUDGETS * HOLDERS_PER_BUDGET);
     // A draw and two lines an account.
     let most = accounts * 3;
     assert!(fleet.records <= most, "{} of {most}", fleet.records);
--- a/crates/hibiscus-traffic/tests/relief.rs
+++ b/crates/hibiscus-traffic/tests/memory_pressure.rs
@@ -1,8 +1,8 @@
 //! What a process does as its memory runs out.
 
-use hibiscus_traffic::relief::FULL_REQUESTS;
-use hibiscus_traffic::relief::MemoryPressure;
-use hibiscus_traffic::relief::PressureGauge;
+use hibiscus_traffic::memory_pressure::FULL_REQUESTS;
+use hibiscus_traffic::memory_pressure::MemoryPressure;
+use hibiscus_traffic::memory_pressure::PressureGauge;
 
 /// Memory of the smallest machines of the grown deployments.
 const MEMORY: usize = 88_000_000;
--- a/crates/hibiscus-traffic/tests/power_cut.rs
+++ b/crates/hibiscus-traffic/tests/power_cut.rs
@@ -20,15 +20,15 @@
 use hibiscus_ledger::account::AccountFold;
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_ledger::account::agreement;
-use hibiscus_ledger::account::pace::MachineTime;
-use hibiscus_ledger::account::policy::HolderDuty;
-use hibiscus_ledger::account::purse::TokenHold;
+use hibiscus_ledger::account::limit::MachineTime;
+use hibiscus_ledger::account::policy::DrawMode;
+use hibiscus_ledger::account::quota::QuotaReservation;
 use hibiscus_traffic::budgets::AccountBatch;
-use hibiscus_traffic::budgets::BudgetDesk;
+use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::budgets::BudgetRole;
 use hibiscus_traffic::clock::MachineClock;
 use hibiscus_traffic::holders;
-use hibiscus_traffic::holders::HOLDERS;
+use hibiscus_traffic::holders::HOLDERS_PER_BUDGET;
 use hibiscus_traffic::model::InstanceEntry;
 use hibiscus_types::BudgetName;
 use hibiscus_types::IncarnationId;
@@ -85,7 +85,7 @@
 /// A request that has its tokens.
 struct RunningRequest {
     budget: usize,
-    hold: TokenHold,
+    hold: QuotaReservation,
     uses: u64,
     ends: u64,
 }
@@ -93,7 +93,7 @@
 /// One holder's process.
 struct SimHolder {
     entry: InstanceEntry,
-    desk: BudgetDesk,
+    desk: BudgetManager,
     batches: Receiver<AccountBatch>,
     clock: Rc<Cell<MachineTime>>,
     /// Batch at the store, and when it answers.
@@ -213,7 +213,7 @@
             let clock = Rc::new(Cell::new(MachineTime::default()));
             let (outbox, batches) = mpsc::sync_channel(64);
             let source = MachineClock::set_by(Rc::clone(&clock));
-            let mut desk = BudgetDesk::new(holder, entry.name.clone(), source, outbox);
+            let mut desk = BudgetManager::new(holder, entry.name.clone(), source, outbox);
             let mut totals = config(BUDGETS, 0);
             for (team, prepaid) in totals.teams.iter_mut().zip(&self.prepaid) {
                 std::sync::Arc::make_mut(team).prepaid = Some(TokenCount::new(*prepaid));
@@ -241,7 +241,7 @@
         self.back_since = self.now;
         self.set_clocks();
         for holder in &mut self.holders {
-            holder.desk.begin();
+            holder.desk.set_start_time();
         }
     }
 
@@ -257,7 +257,7 @@
                 // The server has read the prompt; some of the answer came.
                 let used = self.random.u64(request.uses / 2..=request.uses);
                 self.result.in_progress += request.hold.tokens.get() - used;
-                self.use_tokens(request.budget, holder.desk.process().0, used);
+                self.use_tokens(request.budget, holder.desk.process_start().0, used);
             }
         }
     }
@@ -384,8 +384,8 @@
         for (number, holder) in self.holders.iter_mut().enumerate() {
             let role = |_budget: &BudgetName| BudgetRole {
                 holders: count,
-                duty: HolderDuty::Holds,
-                keeps: number == 0,
+                mode: DrawMode::Prefetch,
+                writes_snapshots: number == 0,
             };
             while holder
                 .reading
@@ -394,7 +394,7 @@
             {
                 let (_at, offset, record) = holder.reading.pop_front().expect("a record");
                 holder.desk.apply(offset, &record, millis);
-                holder.desk.note_end(offset + 1, millis);
+                holder.desk.set_stream_end(offset + 1, millis);
             }
             if holder.recovers_at.is_some_and(|at| at <= self.now) {
                 holder.recovers_at = None;
@@ -403,7 +403,7 @@
                 let readings = [began, began + 20, began + 5, began + 12];
                 holder
                     .desk
-                    .close_unproven(agreement::latest_agreed(&readings));
+                    .close_unproven(agreement::agreed_upper_bound(&readings));
             }
             let is_ready = holder.recovers_at.is_none();
             if let Some((batch, answers)) = holder.appending.take() {
@@ -429,7 +429,7 @@
                 if let Ok(hold) = holder.desk.reserve(&name, tokens, millis) {
                     holder.desk.count_demand(&name, tokens, millis);
                     if request.wanted {
-                        holder.desk.unwant(&name, tokens);
+                        holder.desk.remove_waiter(&name, tokens);
                     }
                     self.result.served += 1;
                     holder.running.push(RunningRequest {
@@ -442,11 +442,11 @@
                 }
                 if !request.wanted {
                     request.wanted = true;
-                    let _changed = holder.desk.want(&name, tokens);
+                    let _changed = holder.desk.add_waiter(&name, tokens);
                 }
                 let refused = holder.desk.refusal(&name, tokens, millis).is_some();
                 if refused || self.now >= request.since + WAIT_MS + START_MS {
-                    holder.desk.unwant(&name, tokens);
+                    holder.desk.remove_waiter(&name, tokens);
                     self.result.refused += 1;
                     let free = self.fold.budget(&name).map(|known| known.free().get());
                     let is_back = self.now >= self.back_since + BACK_MS;
@@ -496,7 +496,7 @@
             let desk = &mut self.holders[number].desk;
             let uses = TokenCount::new(request.uses);
             desk.settle(&budget(request.budget), request.hold, uses, now);
-            let holder = desk.process().0;
+            let holder = desk.process_start().0;
             self.use_tokens(request.budget, holder, request.uses);
         }
     }
@@ -576,7 +576,7 @@
     let requests = result.served + result.refused;
     assert!(result.questions <= requests, "{size}: {result}");
     // A holder appends one batch after the other at the most.
-    let most = HOLDERS as u64 * DAY_SECONDS * 100;
+    let most = HOLDERS_PER_BUDGET as u64 * DAY_SECONDS * 100;
     assert!(result.appends <= most, "{size}: {result}");
     assert!(result.draws <= 2 * requests, "{size}: {result}");
 }
--- a/crates/hibiscus-traffic/tests/state.rs
+++ b/crates/hibiscus-traffic/tests/state.rs
@@ -12,7 +12,7 @@
 
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_traffic::budgets::AccountBatch;
-use hibiscus_traffic::budgets::BudgetDesk;
+use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::clock::MachineClock;
 use hibiscus_traffic::dialect::AnswerSigns;
 use hibiscus_traffic::dialect::CallerSigns;
@@ -96,7 +96,7 @@
     let (outbox, batches) = mpsc::sync_channel(16);
     let (suspects, _records) = mpsc::sync_channel(16);
     let clock = MachineClock::of_this_boot();
-    let desk = BudgetDesk::new(own.incarnation, own.name.clone(), clock, outbox);
+    let desk = BudgetManager::new(own.incarnation, own.name.clone(), clock, outbox);
     let state = TrafficState::new(TrafficParts {
         dialect: SilentDialect,
         data_centre: own.data_centre.clone(),
@@ -160,7 +160,7 @@
     assert_eq!(draws(&batches), []);
     let budget = budget(3);
     let tokens = TokenCount::new(9_000);
-    let _want = state.budgets.want(&budget, tokens);
+    let _want = state.budgets.wait_for(&budget, tokens);
     state.review_waiting();
     let draws = draws(&batches);
     assert!(
