--- a/crates/hibiscus-bench/src/routing_run.rs
+++ b/crates/hibiscus-bench/src/routing_run.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use hibiscus_routing::affinity::CacheEvent;
-use hibiscus_routing::affinity::PrefixBelief;
+use hibiscus_routing::affinity::PrefixEstimate;
 use hibiscus_routing::health::ServerHealth;
 use hibiscus_routing::load::LoadTracker;
 use hibiscus_routing::load::ServerLoad;
@@ -136,7 +136,7 @@
 struct RouterServer {
     load: LoadTracker,
     health: ServerHealth,
-    prefixes: PrefixBelief,
+    prefixes: PrefixEstimate,
 }
 
 /// One router.
@@ -242,7 +242,7 @@
             ModelEvent::Ended { server, call } => self.end(server, call),
             ModelEvent::Failed { server, call } => self.fail(server, call),
             ModelEvent::Report => self.report(),
-            ModelEvent::ReportArrives { loads, made_ms } => self.take_report(&loads, made_ms),
+            ModelEvent::ReportArrives { loads, made_ms } => self.note_report(&loads, made_ms),
             ModelEvent::CacheArrives { server, event } => {
                 for router in &mut self.routers {
                     router.servers[server].prefixes.take(&event);
@@ -325,7 +325,7 @@
             views.push(self.view(call, index, now));
             positions.push(index);
         }
-        if views.iter().all(|view| view.leaving) {
+        if views.iter().all(|view| view.draining) {
             for index in avoided {
                 views.push(self.view(call, index, now));
                 positions.push(index);
@@ -349,7 +349,7 @@
             name: self.names[index].clone(),
             service: ServiceName::from("model"),
             address: ([127, 0, 0, 1], 1).into(),
-            leaving: self.servers[index].listed_leaving,
+            draining: self.servers[index].listed_leaving,
             reported: known.load.reported(),
             own: known.load.own(),
             expected: known.load.expected(now, ROUTERS as u32 - 1),
@@ -403,7 +403,7 @@
         let known = &mut self.routers[call.router].servers[server];
         known.load.note_ended(now);
         known.load.note_speed(TOKEN_MS * slowness / 1_000.0);
-        known.health.note_answered();
+        known.health.note_success();
         let started = self.servers[server].end_one();
         self.note_started(server, started);
     }
@@ -434,11 +434,11 @@
         self.schedule(REPORT_INTERVAL_MS, ModelEvent::Report);
     }
 
-    fn take_report(&mut self, loads: &[u32], made_ms: f64) {
+    fn note_report(&mut self, loads: &[u32], made_ms: f64) {
         let made = self.time(made_ms);
         for router in &mut self.routers {
             for (known, load) in router.servers.iter_mut().zip(loads) {
-                known.load.take_report(*load, made);
+                known.load.note_report(*load, made);
             }
         }
     }
--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -17,8 +17,8 @@
 use hibiscus_traffic::answer;
 use hibiscus_traffic::budgets::BudgetDesk;
 use hibiscus_traffic::clock::MachineClock;
+use hibiscus_traffic::crash_detector;
 use hibiscus_traffic::directory::InstanceDirectory;
-use hibiscus_traffic::endings;
 use hibiscus_traffic::machine;
 use hibiscus_traffic::machine::MachineLimits;
 use hibiscus_traffic::measures;
@@ -35,7 +35,7 @@
 use hibiscus_traffic::state::TrafficParts;
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::supply;
-use hibiscus_traffic::suspects::SuspectDesk;
+use hibiscus_traffic::suspects::SuspectTracker;
 use hibiscus_traffic::updates;
 use hibiscus_traffic::updates::UpdateReceiver;
 use hibiscus_types::IncarnationId;
@@ -233,7 +233,7 @@
         budgets: desk,
         retries,
         directory: InstanceDirectory::new(own.clone()),
-        suspects: SuspectDesk::new(own.name.clone(), news),
+        suspects: SuspectTracker::new(own.name.clone(), news),
         bounds: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
         limits,
         first_start: settings.first_start,
@@ -313,8 +313,8 @@
     tokio::task::spawn_local(recovery::close_unproven(Rc::clone(&state)));
     tokio::task::spawn_local(recovery::close_strangers(Rc::clone(&state)));
     tokio::task::spawn_local(members::keep(Rc::clone(&state), answers::READINESS_PATH));
-    tokio::task::spawn_local(endings::keep(Rc::clone(&state)));
-    tokio::task::spawn_local(hibiscus_traffic::suspects::keep(Rc::clone(&state)));
+    tokio::task::spawn_local(crash_detector::run(Rc::clone(&state)));
+    tokio::task::spawn_local(hibiscus_traffic::suspects::run(Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_callers(callers, Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_calls(
         readiness,
@@ -374,7 +374,7 @@
     loop {
         tokio::time::sleep(LEVELS_PAUSE).await;
         state.show_levels();
-        state.suspects.tick(state.keeps_suspects(), state.now());
+        state.suspects.tick(state.maintains_suspects(), state.now());
         if let Some(link) = state.link.borrow().as_ref() {
             show_link(&link.counts());
         }
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -1,7 +1,7 @@
 //! Follows the servers' entries.
 //!
 //! In a small fleet each instance reads them. In a large one a few relays do,
-//! and publish what changes ([`hibiscus_traffic::server_news`]); the others
+//! and publish what changes ([`hibiscus_traffic::server_changes`]); the others
 //! follow the news, and read the entries when news are missing or do not come.
 
 use std::thread;
@@ -11,13 +11,13 @@
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
 use hibiscus_traffic::model::ServerEntry;
-use hibiscus_traffic::server_news;
-use hibiscus_traffic::server_news::NEWS_INTERVAL;
-use hibiscus_traffic::server_news::NEWS_TOPIC;
-use hibiscus_traffic::server_news::NewsDraft;
-use hibiscus_traffic::server_news::ServerBook;
-use hibiscus_traffic::server_news::ServerChange;
-use hibiscus_traffic::server_news::ServerNews;
+use hibiscus_traffic::server_changes;
+use hibiscus_traffic::server_changes::CHANGE_SET_INTERVAL;
+use hibiscus_traffic::server_changes::EntryTable;
+use hibiscus_traffic::server_changes::PendingChanges;
+use hibiscus_traffic::server_changes::SERVER_CHANGES_TOPIC;
+use hibiscus_traffic::server_changes::ServerChange;
+use hibiscus_traffic::server_changes::ServerChangeSet;
 use hibiscus_traffic::updates::TrafficUpdate;
 use hibiscus_traffic::updates::UpdateSender;
 use hibiscus_types::ServerName;
@@ -82,9 +82,9 @@
     duty: &'a RelayDuty,
     begun: Instant,
     /// The servers; `None` before their entries were read.
-    book: Option<ServerBook>,
+    book: Option<EntryTable>,
     /// What this instance is to publish, while it is a relay.
-    draft: Option<NewsDraft>,
+    draft: Option<PendingChanges>,
     /// Offset of the next record of the news.
     news_next: u64,
     /// When news came last.
@@ -120,7 +120,7 @@
     /// Reads the newest entries of all servers.
     fn begin(&mut self) -> Result<()> {
         // News from here on are missed by nobody who reads the entries next.
-        self.news_next = self.store.end(NEWS_TOPIC)?;
+        self.news_next = self.store.end(SERVER_CHANGES_TOPIC)?;
         let newest = self.store.newest(servers::TOPIC)?;
         let mut entries = Vec::with_capacity(newest.records.len());
         for kept in newest.records {
@@ -129,7 +129,7 @@
                 ServerChange::Gone(name) => event!(EventCode::EntryUnreadable, "key={name}"),
             }
         }
-        self.book = Some(ServerBook::new(&entries, newest.next));
+        self.book = Some(EntryTable::new(&entries, newest.next));
         self.draft = None;
         self.heard = self.now();
         tell(self.updates, TrafficUpdate::AllServers(entries));
@@ -138,7 +138,7 @@
 
     /// Reads the entries that were written since, waiting up to `wait`, and
     /// pauses.
-    fn read_entries(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
+    fn read_entries(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
         let from = book.position();
         let read = self.store.read(servers::TOPIC, from, wait)?;
         let now = self.now();
@@ -161,9 +161,9 @@
 
     /// Reads the entries, and publishes what changed unless a relay before this
     /// one does.
-    fn relay(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
+    fn relay(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
         if self.draft.is_none() {
-            self.draft = Some(NewsDraft::new(book.position(), self.now()));
+            self.draft = Some(PendingChanges::new(book.position(), self.now()));
         }
         self.read_entries(book, wait)?;
         let place = self.duty.place();
@@ -185,7 +185,7 @@
                 Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
             }
         }
-        match self.store.append(NEWS_TOPIC, &encoded) {
+        match self.store.append(SERVER_CHANGES_TOPIC, &encoded) {
             // Copies change nothing, so one whose reply is lost goes out again.
             Ok(_receipt) => draft.note_published(book.position(), now),
             Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
@@ -194,22 +194,22 @@
     }
 
     /// Follows the news; without any for a while reads the entries.
-    fn follow_news(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
+    fn follow_news(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
         if self.draft.take().is_some() {
             // A relay reads no news; what it missed shows as a gap.
-            self.news_next = self.store.end(NEWS_TOPIC)?;
+            self.news_next = self.store.end(SERVER_CHANGES_TOPIC)?;
             self.heard = self.now();
         }
-        if server_news::is_silent(self.heard, self.now()) {
+        if server_changes::is_silent(self.heard, self.now()) {
             self.read_entries(book, wait)?;
             return self.read_news(book, Duration::ZERO);
         }
-        self.read_news(book, wait.min(NEWS_INTERVAL))
+        self.read_news(book, wait.min(CHANGE_SET_INTERVAL))
     }
 
     /// Reads the news that were published since, waiting up to `wait`.
-    fn read_news(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
-        let read = match self.store.read(NEWS_TOPIC, self.news_next, wait) {
+    fn read_news(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
+        let read = match self.store.read(SERVER_CHANGES_TOPIC, self.news_next, wait) {
             Ok(read) => read,
             Err(StoreError::Expired { first }) => {
                 self.news_next = first;
@@ -220,7 +220,7 @@
         let now = self.now();
         for record in read.page.records {
             self.news_next += 1;
-            let news = match codec::decode::<ServerNews>(&record) {
+            let news = match codec::decode::<ServerChangeSet>(&record) {
                 Ok(news) => news,
                 Err(error) => {
                     event!(EventCode::ServerNewsUnreadable, "cause={error}");
@@ -232,7 +232,7 @@
                 draft.note_published(news.upto, now);
             }
             let upto = news.upto;
-            match book.take_news(news) {
+            match book.apply_change_set(news) {
                 Ok(changes) => {
                     for change in changes {
                         self.tell_change(change);
--- a/crates/hibiscus-front/src/suspects.rs
+++ b/crates/hibiscus-front/src/suspects.rs
@@ -9,9 +9,9 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_request::suspects::EndEvidence;
-use hibiscus_request::suspects::EndKey;
-use hibiscus_request::suspects::SuspectNews;
+use hibiscus_request::suspects::CrashKey;
+use hibiscus_request::suspects::CrashReport;
+use hibiscus_request::suspects::SuspectRecord;
 use hibiscus_traffic::suspects::SuspectUpdate;
 use hibiscus_traffic::updates::TrafficUpdate;
 use hibiscus_traffic::updates::UpdateSender;
@@ -53,7 +53,7 @@
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
         let mut ends = Vec::with_capacity(records.len());
         for record in records {
-            if let Some(SuspectNews::Ended(evidence)) = decode(&record) {
+            if let Some(SuspectRecord::Crashed(evidence)) = decode(&record) {
                 ends.push(evidence);
             }
         }
@@ -70,14 +70,14 @@
 }
 
 /// Decodes a record; `None` when another writer left it.
-fn decode(record: &KeyedRecord) -> Option<SuspectNews> {
-    let key = EndKey::parse(&record.key);
+fn decode(record: &KeyedRecord) -> Option<SuspectRecord> {
+    let key = CrashKey::parse(&record.key);
     let news = match &record.value {
-        None => key.map(SuspectNews::Dropped),
-        Some(value) => codec::decode::<EndEvidence>(value)
+        None => key.map(SuspectRecord::Removed),
+        Some(value) => codec::decode::<CrashReport>(value)
             .ok()
             .filter(|evidence| Some(evidence.key()) == key)
-            .map(SuspectNews::Ended),
+            .map(SuspectRecord::Crashed),
     };
     if news.is_none() {
         event!(EventCode::SuspectUnreadable, "key={}", record.key);
@@ -95,7 +95,7 @@
 pub(crate) fn append_suspects(
     store: &StoreClient,
     limits: StoreLimits,
-    batches: &Receiver<Vec<SuspectNews>>,
+    batches: &Receiver<Vec<SuspectRecord>>,
 ) {
     let mut kept: Vec<Vec<u8>> = Vec::new();
     while let Ok(news) = batches.recv() {
@@ -132,11 +132,11 @@
 }
 
 /// The record of `news`.
-fn encode(news: &SuspectNews) -> Option<Vec<u8>> {
+fn encode(news: &SuspectRecord) -> Option<Vec<u8>> {
     let key = news.key().to_string();
     let value = match news {
-        SuspectNews::Dropped(_) => Vec::new(),
-        SuspectNews::Ended(evidence) => match codec::encode(evidence) {
+        SuspectRecord::Removed(_) => Vec::new(),
+        SuspectRecord::Crashed(evidence) => match codec::encode(evidence) {
             Ok(value) => value,
             Err(error) => {
                 event!(EventCode::SuspectsNotStored, "records=1 cause={error}");
--- a/crates/hibiscus-request/src/print.rs
+++ b/crates/hibiscus-request/src/fingerprint.rs
@@ -20,17 +20,17 @@
 /// apart without reading them. The digest is one that nobody can make collide:
 /// it holds the team, so no team can send what passes for another's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct RequestPrint {
-    sketch: RequestSketch,
+pub struct RequestFingerprint {
+    coarse: CoarseFingerprint,
     digest: [u8; DIGEST_BYTES],
 }
 
-/// The part of a [`RequestPrint`] that costs nothing to make.
+/// The part of a [`RequestFingerprint`] that costs nothing to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct RequestSketch(u64);
+pub struct CoarseFingerprint(u64);
 
-impl RequestSketch {
+impl CoarseFingerprint {
     /// The sketch of a body of `length` bytes that `team` sends to `path`.
     pub fn of(team: &str, path: &str, length: usize) -> Self {
         Self(stable_hash(&[
@@ -41,7 +41,7 @@
     }
 }
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// The print of `body` that `team` sends to `path`.
     pub fn of(team: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
@@ -53,39 +53,39 @@
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&hash[..DIGEST_BYTES]);
         Self {
-            sketch: RequestSketch::of(team, path, body.len()),
+            coarse: CoarseFingerprint::of(team, path, body.len()),
             digest,
         }
     }
 
     /// The print whose sketch and digest `text` holds, one after the other.
     pub fn parse(text: &str) -> Option<Self> {
-        let (sketch, digest) = text.split_at_checked(SKETCH_DIGITS)?;
+        let (coarse, digest) = text.split_at_checked(SKETCH_DIGITS)?;
         if digest.len() != 2 * DIGEST_BYTES {
             return None;
         }
         let digest = u128::from_str_radix(digest, 16).ok()?;
         Some(Self {
-            sketch: RequestSketch(u64::from_str_radix(sketch, 16).ok()?),
+            coarse: CoarseFingerprint(u64::from_str_radix(coarse, 16).ok()?),
             digest: digest.to_be_bytes(),
         })
     }
 
     /// The part without the body's bytes.
-    pub fn sketch(&self) -> RequestSketch {
-        self.sketch
+    pub fn coarse(&self) -> CoarseFingerprint {
+        self.coarse
     }
 }
 
 /// The sketch in hexadecimal.
-impl fmt::Display for RequestSketch {
+impl fmt::Display for CoarseFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.0)
     }
 }
 
 /// The digest in hexadecimal.
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for byte in self.digest {
             write!(formatter, "{byte:02x}")?;
--- a/crates/hibiscus-request/src/quarantine.rs
+++ b/crates/hibiscus-request/src/quarantine.rs
@@ -19,7 +19,7 @@
 use serde::Serialize;
 
 /// Time after which a death is forgotten.
-pub const DEATH_LIFETIME: Duration = Duration::from_secs(3_600);
+pub const CRASH_LIFETIME: Duration = Duration::from_secs(3_600);
 /// Distinct servers that a quarantined request has stopped.
 const SERVERS_TO_QUARANTINE: usize = 2;
 /// Suspects kept at most; the ones seen longest ago go first.
@@ -48,7 +48,7 @@
 
 /// A server that stopped while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerDeath {
+pub struct ServerCrash {
     /// The request.
     pub fingerprint: BodyFingerprint,
     /// The server.
@@ -86,7 +86,7 @@
 
 impl SuspectTable {
     /// Takes a death over. A repeat changes nothing.
-    pub fn record(&mut self, death: &ServerDeath) {
+    pub fn record(&mut self, death: &ServerCrash) {
         let state = self
             .suspects
             .entry(death.fingerprint)
@@ -106,7 +106,7 @@
         let Some(state) = self.suspects.get(&fingerprint) else {
             return RequestSuspicion::Clear;
         };
-        if now.since(state.seen) > DEATH_LIFETIME {
+        if now.since(state.seen) > CRASH_LIFETIME {
             return RequestSuspicion::Clear;
         }
         if state.alone && state.servers.len() >= SERVERS_TO_QUARANTINE {
--- a/crates/hibiscus-request/src/suspects.rs
+++ b/crates/hibiscus-request/src/suspects.rs
@@ -3,14 +3,14 @@
 //! A server that ends takes every request on it along, so one end proves
 //! nothing about one request. What counts are ends one after the other: a
 //! server that ended although its sender knew of earlier ends adds a round
-//! ([`EndEvidence::known`]), while all servers that end at the same moment are
+//! ([`CrashReport::known`]), while all servers that end at the same moment are
 //! one. An answer proves that the request ends no servers, and clears it. So a
 //! request that many callers send is cleared by the first that is answered,
 //! however many servers end with it.
 //!
 //! Evidence is a set that instances merge in any order: a repeat changes
 //! nothing, and what was dropped stays dropped. It names the caller by way of
-//! its [`RequestPrint`], so no team can condemn another's request.
+//! its [`RequestFingerprint`], so no team can condemn another's request.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,8 +26,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::print::RequestPrint;
-use crate::print::RequestSketch;
+use crate::fingerprint::CoarseFingerprint;
+use crate::fingerprint::RequestFingerprint;
 
 /// Rounds after which a request is condemned.
 const ROUNDS_TO_CONDEMN: usize = 3;
@@ -45,7 +45,7 @@
 pub const SUSPECT_LIMIT: usize = 4_096;
 /// Ends kept of one request: more prove nothing more.
 const END_LIMIT: usize = 16;
-/// Dropped ends that are remembered, so that late copies change nothing.
+/// Removed ends that are remembered, so that late copies change nothing.
 const DROPPED_LIMIT: usize = 4_096;
 /// Ends of servers that are remembered for [`ALONE_TIME`].
 const RECENT_LIMIT: usize = 4_096;
@@ -67,36 +67,40 @@
 
 /// Names the end of one server under one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct EndKey {
+pub struct CrashKey {
     /// The request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// The server.
     pub process: ServerProcess,
 }
 
-impl EndKey {
+impl CrashKey {
     /// The key that [`fmt::Display`] wrote as `text`.
     pub fn parse(text: &str) -> Option<Self> {
-        let (print, process) = text.split_once('/')?;
+        let (fingerprint, process) = text.split_once('/')?;
         Some(Self {
-            print: RequestPrint::parse(print)?,
+            fingerprint: RequestFingerprint::parse(fingerprint)?,
             process: ServerProcess(u64::from_str_radix(process, 16).ok()?),
         })
     }
 }
 
-impl fmt::Display for EndKey {
+impl fmt::Display for CrashKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let sketch = self.print.sketch();
-        write!(formatter, "{sketch}{}/{:016x}", self.print, self.process.0)
+        let coarse = self.fingerprint.coarse();
+        write!(
+            formatter,
+            "{coarse}{}/{:016x}",
+            self.fingerprint, self.process.0
+        )
     }
 }
 
 /// A server that ended under a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndEvidence {
+pub struct CrashReport {
     /// The request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestFingerprint,
     /// The server.
     pub server: ServerName,
     /// When the server had begun, in its own time.
@@ -112,11 +116,11 @@
     pub seen: UnixMillis,
 }
 
-impl EndEvidence {
+impl CrashReport {
     /// What names the end.
-    pub fn key(&self) -> EndKey {
-        EndKey {
-            print: self.print,
+    pub fn key(&self) -> CrashKey {
+        CrashKey {
+            fingerprint: self.fingerprint,
             process: ServerProcess::of(&self.server, self.started),
         }
     }
@@ -124,32 +128,32 @@
 
 /// News of a request under which servers ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SuspectNews {
+pub enum SuspectRecord {
     /// A server ended under it.
-    Ended(EndEvidence),
+    Crashed(CrashReport),
     /// An end proves nothing any more.
-    Dropped(EndKey),
+    Removed(CrashKey),
 }
 
-impl SuspectNews {
+impl SuspectRecord {
     /// The end that it is about.
-    pub fn key(&self) -> EndKey {
+    pub fn key(&self) -> CrashKey {
         match self {
-            Self::Ended(evidence) => evidence.key(),
-            Self::Dropped(key) => *key,
+            Self::Crashed(evidence) => evidence.key(),
+            Self::Removed(key) => *key,
         }
     }
 }
 
 /// What is known against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SuspectCase {
+pub struct CrashSummary {
     /// Servers that ended under it.
     pub servers: usize,
     /// Rounds of ends one after the other.
     pub rounds: u8,
     /// The newest of the ends.
-    pub newest: EndEvidence,
+    pub newest: CrashReport,
     /// When it may be sent again; `None` when it may now.
     pub released: Option<UnixMillis>,
 }
@@ -163,7 +167,7 @@
 /// An end and how far it has come.
 #[derive(Clone, Debug)]
 struct HeldEnd {
-    evidence: EndEvidence,
+    evidence: CrashReport,
     /// Whether the fleet's topic held it.
     stored: bool,
     /// When it came here, on the steady clock.
@@ -179,7 +183,7 @@
         known.collect::<BTreeSet<_>>().len()
     }
 
-    fn newest(&self) -> Option<&EndEvidence> {
+    fn newest(&self) -> Option<&CrashReport> {
         let ends = self.ends.values().map(|held| &held.evidence);
         ends.max_by_key(|evidence| evidence.seen)
     }
@@ -205,20 +209,20 @@
 
 /// The requests under which servers ended.
 #[derive(Clone, Debug, Default)]
-pub struct SuspectBook {
-    suspects: BTreeMap<RequestPrint, SuspectState>,
+pub struct CrashTable {
+    suspects: BTreeMap<RequestFingerprint, SuspectState>,
     /// Requests of each sketch.
-    sketches: HashMap<RequestSketch, usize>,
-    dropped: BTreeSet<EndKey>,
+    sketches: HashMap<CoarseFingerprint, usize>,
+    dropped: BTreeSet<CrashKey>,
     /// The dropped ends, oldest first.
-    dropped_order: VecDeque<EndKey>,
+    dropped_order: VecDeque<CrashKey>,
     /// Servers that ended, and when.
     recent: HashMap<ServerProcess, Duration>,
     /// Ends that had no room any more.
-    surplus: Vec<EndKey>,
+    surplus: Vec<CrashKey>,
 }
 
-impl SuspectBook {
+impl CrashTable {
     /// Number of requests.
     pub fn len(&self) -> usize {
         self.suspects.len()
@@ -229,17 +233,17 @@
         self.suspects.is_empty()
     }
 
-    /// Whether a request with `sketch` may be among them.
-    pub fn may_hold(&self, sketch: RequestSketch) -> bool {
-        self.sketches.contains_key(&sketch)
+    /// Whether a request with `coarse` may be among them.
+    pub fn may_hold(&self, coarse: CoarseFingerprint) -> bool {
+        self.sketches.contains_key(&coarse)
     }
 
     /// What is known against the request at the time `now`.
-    pub fn case(&self, print: &RequestPrint, now: UnixMillis) -> Option<SuspectCase> {
-        let state = self.suspects.get(print)?;
+    pub fn case(&self, fingerprint: &RequestFingerprint, now: UnixMillis) -> Option<CrashSummary> {
+        let state = self.suspects.get(fingerprint)?;
         let newest = state.newest()?;
         let until = state.condemned_until();
-        Some(SuspectCase {
+        Some(CrashSummary {
             servers: state.ends.len(),
             rounds: u8::try_from(state.rounds()).unwrap_or(u8::MAX),
             newest: newest.clone(),
@@ -248,7 +252,7 @@
     }
 
     /// A server ended at `now`, whatever was on it; false when that was known.
-    pub fn note_end(&mut self, process: ServerProcess, now: Duration) -> bool {
+    pub fn note_crash(&mut self, process: ServerProcess, now: Duration) -> bool {
         if self.recent.contains_key(&process) {
             return false;
         }
@@ -264,8 +268,13 @@
 
     /// Whether no server ended without the request shortly before `now`, other
     /// than `process`.
-    pub fn is_alone(&self, print: &RequestPrint, process: ServerProcess, now: Duration) -> bool {
-        let state = self.suspects.get(print);
+    pub fn is_alone(
+        &self,
+        fingerprint: &RequestFingerprint,
+        process: ServerProcess,
+        now: Duration,
+    ) -> bool {
+        let state = self.suspects.get(fingerprint);
         self.recent.iter().all(|(ended, at)| {
             let old = now.saturating_sub(*at) > ALONE_TIME;
             let own = state.is_some_and(|state| state.ends.contains_key(ended));
@@ -274,14 +283,14 @@
     }
 
     /// Takes evidence over that came at `now`; false when it says nothing new.
-    pub fn take(&mut self, evidence: EndEvidence, now: Duration) -> bool {
+    pub fn take(&mut self, evidence: CrashReport, now: Duration) -> bool {
         let key = evidence.key();
         if self.dropped.contains(&key) {
             return false;
         }
-        self.note_end(key.process, now);
-        let is_new = !self.suspects.contains_key(&key.print);
-        let state = self.suspects.entry(key.print).or_default();
+        self.note_crash(key.process, now);
+        let is_new = !self.suspects.contains_key(&key.fingerprint);
+        let state = self.suspects.entry(key.fingerprint).or_default();
         if state.ends.contains_key(&key.process) || state.ends.len() >= END_LIMIT {
             return false;
         }
@@ -292,68 +301,68 @@
         };
         state.ends.insert(key.process, held);
         if is_new {
-            *self.sketches.entry(key.print.sketch()).or_default() += 1;
-            self.make_room(&key.print);
+            *self.sketches.entry(key.fingerprint.coarse()).or_default() += 1;
+            self.make_room(&key.fingerprint);
         }
         true
     }
 
     /// The fleet's topic holds the end.
-    pub fn note_stored(&mut self, key: &EndKey) {
-        let state = self.suspects.get_mut(&key.print);
+    pub fn note_stored(&mut self, key: &CrashKey) {
+        let state = self.suspects.get_mut(&key.fingerprint);
         if let Some(held) = state.and_then(|state| state.ends.get_mut(&key.process)) {
             held.stored = true;
         }
     }
 
     /// Whether the end was dropped lately.
-    pub fn was_dropped(&self, key: &EndKey) -> bool {
+    pub fn was_dropped(&self, key: &CrashKey) -> bool {
         self.dropped.contains(key)
     }
 
     /// Drops an end for good; false when it was not known.
-    pub fn drop_end(&mut self, key: &EndKey) -> bool {
+    pub fn drop_end(&mut self, key: &CrashKey) -> bool {
         self.note_dropped(*key);
-        let Some(state) = self.suspects.get_mut(&key.print) else {
+        let Some(state) = self.suspects.get_mut(&key.fingerprint) else {
             return false;
         };
         let known = state.ends.remove(&key.process).is_some();
         if state.ends.is_empty() {
-            self.remove(&key.print);
+            self.remove(&key.fingerprint);
         }
         known
     }
 
     /// The request was answered: drops its ends, and returns them.
-    pub fn clear(&mut self, print: &RequestPrint) -> Vec<EndKey> {
-        let keys = self.keys_of(print);
+    pub fn clear(&mut self, fingerprint: &RequestFingerprint) -> Vec<CrashKey> {
+        let keys = self.keys_of(fingerprint);
         for key in &keys {
             self.note_dropped(*key);
         }
-        self.remove(print);
+        self.remove(fingerprint);
         keys
     }
 
     /// Drops requests whose last end is long ago at `now`, and returns the ends
     /// that went, with those that had no room.
-    pub fn expire(&mut self, now: UnixMillis) -> Vec<EndKey> {
+    pub fn expire(&mut self, now: UnixMillis) -> Vec<CrashKey> {
         let mut old = Vec::new();
-        for (print, state) in &self.suspects {
+        for (fingerprint, state) in &self.suspects {
             let newest = state.newest().map(|evidence| evidence.seen);
             if newest.is_none_or(|seen| now.since(seen) > FORGOTTEN_TIME) {
-                old.push(*print);
+                old.push(*fingerprint);
             }
         }
         let mut gone = std::mem::take(&mut self.surplus);
-        for print in old {
-            gone.extend(self.clear(&print));
+        for fingerprint in old {
+            gone.extend(self.clear(&fingerprint));
         }
         gone
     }
 
     /// Takes over which ends the fleet's topic holds, after a gap in reading
     /// it: those that it held before and does not now are dropped.
-    pub fn keep_stored(&mut self, listed: &BTreeSet<EndKey>) {
+    pub fn keep_stored(&mut self, listed: &BTreeSet<CrashKey>) {
         let mut gone = Vec::new();
         for state in self.suspects.values() {
             for held in state.ends.values() {
@@ -370,7 +379,7 @@
 
     /// Evidence that came before `before` and that the fleet's topic does not
     /// hold.
-    pub fn not_stored(&self, before: Duration) -> Vec<EndEvidence> {
+    pub fn not_stored(&self, before: Duration) -> Vec<CrashReport> {
         let mut missing = Vec::new();
         for state in self.suspects.values() {
             for held in state.ends.values() {
@@ -382,17 +391,17 @@
         missing
     }
 
-    fn keys_of(&self, print: &RequestPrint) -> Vec<EndKey> {
-        let state = self.suspects.get(print);
+    fn keys_of(&self, fingerprint: &RequestFingerprint) -> Vec<CrashKey> {
+        let state = self.suspects.get(fingerprint);
         let processes = state.into_iter().flat_map(|state| state.ends.keys());
-        let key = |process: &ServerProcess| EndKey {
-            print: *print,
+        let key = |process: &ServerProcess| CrashKey {
+            fingerprint: *fingerprint,
             process: *process,
         };
         processes.map(key).collect()
     }
 
-    fn note_dropped(&mut self, key: EndKey) {
+    fn note_dropped(&mut self, key: CrashKey) {
         if !self.dropped.insert(key) {
             return;
         }
@@ -404,31 +413,34 @@
         }
     }
 
-    fn remove(&mut self, print: &RequestPrint) {
-        if self.suspects.remove(print).is_none() {
+    fn remove(&mut self, fingerprint: &RequestFingerprint) {
+        if self.suspects.remove(fingerprint).is_none() {
             return;
         }
-        let sketch = print.sketch();
-        if let Some(count) = self.sketches.get_mut(&sketch) {
+        let coarse = fingerprint.coarse();
+        if let Some(count) = self.sketches.get_mut(&coarse) {
             *count -= 1;
             if *count == 0 {
-                self.sketches.remove(&sketch);
+                self.sketches.remove(&coarse);
             }
         }
     }
 
     /// Drops the requests that prove least, but not `newest`.
-    fn make_room(&mut self, newest: &RequestPrint) {
+    fn make_room(&mut self, newest: &RequestFingerprint) {
         if self.suspects.len() <= SUSPECT_LIMIT {
             return;
         }
-        let others = self.suspects.iter().filter(|(print, _)| *print != newest);
+        let others = self
+            .suspects
+            .iter()
+            .filter(|(fingerprint, _)| *fingerprint != newest);
         let least = others.min_by_key(|(_print, state)| {
             let seen = state.newest().map(|evidence| evidence.seen);
             (state.rounds(), seen)
         });
-        if let Some(print) = least.map(|(print, _state)| *print) {
-            let keys = self.clear(&print);
+        if let Some(fingerprint) = least.map(|(fingerprint, _state)| *fingerprint) {
+            let keys = self.clear(&fingerprint);
             self.surplus.extend(keys);
         }
     }
--- a/crates/hibiscus-request/src/window.rs
+++ b/crates/hibiscus-request/src/window.rs
@@ -11,28 +11,28 @@
 
 /// Where a key lies in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyPlace {
+pub enum KeyAge {
     /// It may be used. Keys that carry no time are here too.
-    Inside,
+    Valid,
     /// It is older than the window.
-    Before,
+    Expired,
     /// It is further in the future than clocks may differ.
-    After,
+    InFuture,
 }
 
 /// Places `key` at the time `now`. Only a UUID of version 7 carries a time:
 /// its first 48 bits are Unix milliseconds.
-pub fn place_key(key: &str, now: UnixMillis) -> KeyPlace {
+pub fn check_key_age(key: &str, now: UnixMillis) -> KeyAge {
     let Some(stamped) = key_time(key) else {
-        return KeyPlace::Inside;
+        return KeyAge::Valid;
     };
     if now.since(stamped) > KEY_WINDOW {
-        return KeyPlace::Before;
+        return KeyAge::Expired;
     }
     if stamped.since(now) > CLOCK_LEEWAY {
-        return KeyPlace::After;
+        return KeyAge::InFuture;
     }
-    KeyPlace::Inside
+    KeyAge::Valid
 }
 
 /// The time that a UUID of version 7 carries.
--- a/crates/hibiscus-request/tests/life.rs
+++ b/crates/hibiscus-request/tests/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Evidence and proof that a request did not run.
 
-use hibiscus_request::life::AdmittedRequest;
-use hibiscus_request::life::NotBegunEvidence;
+use hibiscus_request::lifecycle::AdmittedRequest;
+use hibiscus_request::lifecycle::NotBegunEvidence;
 use hibiscus_types::GrantId;
 use hibiscus_types::RequestKey;
 use hibiscus_types::ServerName;
--- a/crates/hibiscus-request/tests/quarantine.rs
+++ b/crates/hibiscus-request/tests/quarantine.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use hibiscus_request::quarantine::BodyFingerprint;
-use hibiscus_request::quarantine::DEATH_LIFETIME;
+use hibiscus_request::quarantine::CRASH_LIFETIME;
 use hibiscus_request::quarantine::RequestSuspicion;
-use hibiscus_request::quarantine::ServerDeath;
+use hibiscus_request::quarantine::ServerCrash;
 use hibiscus_request::quarantine::SuspectTable;
 use hibiscus_types::UnixMillis;
 
@@ -16,8 +16,8 @@
     BodyFingerprint::of(&"team".into(), "/path", body.as_bytes())
 }
 
-fn death(body: &str, server: &str, alone: bool) -> ServerDeath {
-    ServerDeath {
+fn death(body: &str, server: &str, alone: bool) -> ServerCrash {
+    ServerCrash {
         fingerprint: fingerprint(body),
         server: server.into(),
         alone,
@@ -66,7 +66,7 @@
     let mut table = SuspectTable::default();
     table.record(&death("crash", "server-1", true));
     table.record(&death("crash", "server-2", true));
-    let later = SEEN.after(DEATH_LIFETIME + Duration::from_millis(1));
+    let later = SEEN.after(CRASH_LIFETIME + Duration::from_millis(1));
     let state = table.suspicion(fingerprint("crash"), later);
     assert_eq!(state, RequestSuspicion::Clear);
 }
--- a/crates/hibiscus-request/tests/retry.rs
+++ b/crates/hibiscus-request/tests/retry.rs
@@ -3,7 +3,7 @@
 use hibiscus_request::retry::RetryBudget;
 use hibiscus_request::window;
 use hibiscus_request::window::KEY_WINDOW;
-use hibiscus_request::window::KeyPlace;
+use hibiscus_request::window::KeyAge;
 use hibiscus_types::UnixMillis;
 
 /// A key of version 7 stamped at [`STAMPED`].
@@ -39,18 +39,18 @@
 
 #[test]
 fn a_time_ordered_key_is_used_only_within_its_window() {
-    assert_eq!(window::place_key(KEY, STAMPED), KeyPlace::Inside);
+    assert_eq!(window::check_key_age(KEY, STAMPED), KeyAge::Valid);
     let last = STAMPED.after(KEY_WINDOW);
-    assert_eq!(window::place_key(KEY, last), KeyPlace::Inside);
+    assert_eq!(window::check_key_age(KEY, last), KeyAge::Valid);
     let late = UnixMillis::new(last.get() + 1);
-    assert_eq!(window::place_key(KEY, late), KeyPlace::Before);
+    assert_eq!(window::check_key_age(KEY, late), KeyAge::Expired);
     let early = UnixMillis::new(STAMPED.get() - 3_600_001);
-    assert_eq!(window::place_key(KEY, early), KeyPlace::After);
+    assert_eq!(window::check_key_age(KEY, early), KeyAge::InFuture);
 }
 
 #[test]
 fn a_key_without_a_time_is_used_at_any_time() {
     for key in ["order-7", "", "01890a5d-ac96-474b-bcce-b302099a8057"] {
-        assert_eq!(window::place_key(key, STAMPED), KeyPlace::Inside);
+        assert_eq!(window::check_key_age(key, STAMPED), KeyAge::Valid);
     }
 }
--- a/crates/hibiscus-router/src/callers/answer.rs
+++ b/crates/hibiscus-router/src/callers/answer.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use hibiscus_request::life::NotRunProof;
+use hibiscus_request::lifecycle::NotRunProof;
 use hibiscus_types::RefusalReason;
 use hibiscus_types::RequestOutcome;
 use hyper::Response;
--- a/crates/hibiscus-router/src/peer/mod.rs
+++ b/crates/hibiscus-router/src/peer/mod.rs
@@ -12,7 +12,7 @@
 use hibiscus_peer::LinkError;
 use hibiscus_peer::PeerCall;
 use hibiscus_peer::PendingCall;
-use hibiscus_request::quarantine::ServerDeath;
+use hibiscus_request::quarantine::ServerCrash;
 use hibiscus_types::BudgetName;
 use hibiscus_types::codec;
 use hibiscus_types::codec::CodecError;
@@ -64,7 +64,7 @@
     /// Asks for configuration.
     Config(ConfigRequest),
     /// Tells of a server that stopped while it ran a request.
-    ServerDeath(ServerDeath),
+    ServerCrash(ServerCrash),
     /// Asks to keep requests off a server, for a suspect to run alone there.
     ServerClaim(ServerClaim),
     /// Asks the holder to give back what it does not need soon.
@@ -88,7 +88,7 @@
     /// Configuration.
     Config(ConfigReply),
     /// The death is known.
-    ServerDeath,
+    ServerCrash,
     /// The split, when there was something to spare.
     Split(Option<AllowanceSplit>),
     /// Whether the server is kept free.
@@ -169,9 +169,9 @@
         PeerRequest::Config(request) => {
             PeerReply::Config(peers::answer(context, &request)).send(call);
         }
-        PeerRequest::ServerDeath(death) => {
+        PeerRequest::ServerCrash(death) => {
             context.suspects.record(&death);
-            PeerReply::ServerDeath.send(call);
+            PeerReply::ServerCrash.send(call);
         }
         PeerRequest::ServerClaim(claim) => {
             let answer = context.servers.lend(&claim, Instant::now());
--- a/crates/hibiscus-router/src/requests/attempt.rs
+++ b/crates/hibiscus-router/src/requests/attempt.rs
@@ -6,14 +6,14 @@
 use hibiscus_clients::engine::CallHeaders;
 use hibiscus_clients::engine::EngineClient;
 use hibiscus_clients::engine::EngineError;
-use hibiscus_request::life::DispatchedRequest;
-use hibiscus_request::life::FailedRequest;
-use hibiscus_request::life::NotBegunEvidence;
-use hibiscus_request::life::NotRunProof;
-use hibiscus_request::life::OpenedRequest;
+use hibiscus_request::lifecycle::DispatchedRequest;
+use hibiscus_request::lifecycle::FailedRequest;
+use hibiscus_request::lifecycle::NotBegunEvidence;
+use hibiscus_request::lifecycle::NotRunProof;
+use hibiscus_request::lifecycle::OpenedRequest;
 use hibiscus_request::quarantine::BodyFingerprint;
 use hibiscus_request::quarantine::RequestSuspicion;
-use hibiscus_request::quarantine::ServerDeath;
+use hibiscus_request::quarantine::ServerCrash;
 use hibiscus_routing::load::ServerLoad;
 use hibiscus_types::RefusalReason;
 use hibiscus_types::ServerName;
@@ -185,7 +185,7 @@
         };
         self.end_attempt(chosen, end);
         if stopped {
-            let death = ServerDeath {
+            let death = ServerCrash {
                 fingerprint: self.fingerprint,
                 server: chosen.load.name.clone(),
                 alone: chosen.alone,
--- a/crates/hibiscus-router/src/requests/mod.rs
+++ b/crates/hibiscus-router/src/requests/mod.rs
@@ -22,10 +22,10 @@
 
 use hibiscus_config::entry::RouteEntry;
 use hibiscus_config::entry::ServiceEntry;
-use hibiscus_request::life::AdmittedRequest;
+use hibiscus_request::lifecycle::AdmittedRequest;
 use hibiscus_request::window;
 use hibiscus_request::window::KEY_WINDOW;
-use hibiscus_request::window::KeyPlace;
+use hibiscus_request::window::KeyAge;
 use hibiscus_types::BudgetName;
 use hibiscus_types::RefusalReason;
 use hibiscus_types::RequestKey;
@@ -107,16 +107,16 @@
 /// Refuses a time-ordered key that the ledger may have forgotten, and one from
 /// the future, which the ledger would forget too late.
 pub fn check_age(key: &RequestKey) -> Result<(), RequestFailure> {
-    match window::place_key(&key.key, UnixMillis::now()) {
-        KeyPlace::Inside => Ok(()),
-        KeyPlace::Before => Err(RequestFailure::unadmitted(
+    match window::check_key_age(&key.key, UnixMillis::now()) {
+        KeyAge::Valid => Ok(()),
+        KeyAge::Expired => Err(RequestFailure::unadmitted(
             RefusalReason::KeyExpired,
             format!(
                 "failed to take the request: its key is older than {} hours; not run this time",
                 KEY_WINDOW.as_secs() / 3_600
             ),
         )),
-        KeyPlace::After => Err(RequestFailure::unadmitted(
+        KeyAge::InFuture => Err(RequestFailure::unadmitted(
             RefusalReason::BadRequest,
             "failed to take the request: its key's time is in the future",
         )),
--- a/crates/hibiscus-router/src/servers/mod.rs
+++ b/crates/hibiscus-router/src/servers/mod.rs
@@ -242,9 +242,9 @@
     }
 
     /// Takes a load report made at `made`.
-    pub fn take_report(&self, server: &ServerName, load: u32, made: Instant) {
+    pub fn note_report(&self, server: &ServerName, load: u32, made: Instant) {
         if let Some(server) = self.lock().servers.get_mut(server) {
-            server.load.take_report(load, made);
+            server.load.note_report(load, made);
         }
     }
 
@@ -264,9 +264,9 @@
         let now = Instant::now();
         server.load.note_ended(now);
         match end {
-            AttemptEnd::Answered => server.health.note_answered(),
+            AttemptEnd::Answered => server.health.note_success(),
             AttemptEnd::Failed | AttemptEnd::Busy => server.health.note_failed(now),
-            AttemptEnd::Nothing => server.health.note_nothing(),
+            AttemptEnd::Nothing => server.health.note_inconclusive(),
         }
     }
 
@@ -311,7 +311,7 @@
             name: self.name.clone(),
             service: self.service.clone(),
             address: self.address,
-            leaving: self.leaving,
+            draining: self.leaving,
             reported: self.load.reported(),
             own: self.load.own(),
             expected: self.load.expected(now, others),
--- a/crates/hibiscus-router/src/servers/reports.rs
+++ b/crates/hibiscus-router/src/servers/reports.rs
@@ -65,7 +65,7 @@
                 let load = report.running.saturating_add(report.waiting);
                 let age = Duration::from_millis(report.age_ms);
                 let made = asked.checked_sub(age).unwrap_or(asked);
-                context.servers.take_report(&name, load, made);
+                context.servers.note_report(&name, load, made);
             }
             thread::sleep(CALL_INTERVAL.saturating_sub(asked.elapsed()));
         }
--- a/crates/hibiscus-router/src/servers/suspects.rs
+++ b/crates/hibiscus-router/src/servers/suspects.rs
@@ -23,7 +23,7 @@
 use hibiscus_events::EventFields;
 use hibiscus_request::quarantine::BodyFingerprint;
 use hibiscus_request::quarantine::RequestSuspicion;
-use hibiscus_request::quarantine::ServerDeath;
+use hibiscus_request::quarantine::ServerCrash;
 use hibiscus_request::quarantine::SuspectTable;
 use hibiscus_types::UnixMillis;
 use hibiscus_types::codec;
@@ -57,7 +57,7 @@
 #[derive(Default)]
 pub struct SuspectCell {
     table: Mutex<SuspectTable>,
-    pending: Mutex<Vec<ServerDeath>>,
+    pending: Mutex<Vec<ServerCrash>>,
     log_fails: AtomicBool,
     /// Offset of the stream to read next.
     next: AtomicU64,
@@ -65,7 +65,7 @@
 
 impl SuspectCell {
     /// Takes a death over.
-    pub fn record(&self, death: &ServerDeath) {
+    pub fn record(&self, death: &ServerCrash) {
         self.lock().record(death);
     }
 
@@ -83,7 +83,7 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn pending(&self) -> MutexGuard<'_, Vec<ServerDeath>> {
+    fn pending(&self) -> MutexGuard<'_, Vec<ServerCrash>> {
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -98,7 +98,7 @@
 }
 
 /// Tells every instance of a death.
-pub fn report(context: &SharedContext, death: &ServerDeath) {
+pub fn report(context: &SharedContext, death: &ServerCrash) {
     context.suspects.record(death);
     {
         let mut pending = context.suspects.pending();
@@ -118,7 +118,7 @@
         if instance.name == context.settings.instance.name {
             continue;
         }
-        let request = PeerRequest::ServerDeath(death.clone());
+        let request = PeerRequest::ServerCrash(death.clone());
         let Ok(call) = request.start(context, instance.peers, REPORT_TIMEOUT) else {
             continue;
         };
@@ -135,7 +135,7 @@
 
 /// Waits until the death is in the log, so that an instance that starts now
 /// reads it.
-fn wait_appended(context: &SharedContext, death: &ServerDeath) {
+fn wait_appended(context: &SharedContext, death: &ServerCrash) {
     let deadline = Instant::now() + APPEND_WAIT;
     while Instant::now() < deadline && context.suspects.pending().contains(death) {
         if context.suspects.log_fails.load(Ordering::Relaxed) {
@@ -195,7 +195,7 @@
         suspects
             .next
             .fetch_max(record.offset + 1, Ordering::Relaxed);
-        if let Ok(death) = codec::decode::<ServerDeath>(&record.data) {
+        if let Ok(death) = codec::decode::<ServerCrash>(&record.data) {
             suspects.record(&death);
         }
     }
--- a/crates/hibiscus-routing/src/affinity.rs
+++ b/crates/hibiscus-routing/src/affinity.rs
@@ -39,12 +39,12 @@
 
 /// Beliefs about one server's cache.
 #[derive(Clone, Debug, Default)]
-pub struct PrefixBelief {
+pub struct PrefixEstimate {
     next: u64,
     beliefs: BTreeMap<u64, f64>,
 }
 
-impl PrefixBelief {
+impl PrefixEstimate {
     /// Takes an event over. One that was taken before changes nothing.
     pub fn take(&mut self, event: &CacheEvent) {
         if event.sequence < self.next {
--- a/crates/hibiscus-routing/src/availability.rs
+++ b/crates/hibiscus-routing/src/availability.rs
@@ -28,15 +28,15 @@
 
 /// Whether a new request may go to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerOpening {
+pub enum ServerEligibility {
     /// It may.
     Open,
     /// It refused lately: only when no other server can be used.
-    Avoided,
+    LastResort,
     /// Not before the time; without one, as long as this process lives.
     Paused(Option<Instant>),
     /// It leaves: never.
-    Leaving,
+    Draining,
 }
 
 /// What a refusal keeps away from a server.
@@ -55,7 +55,7 @@
 /// What one process of a server has said of new requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerAvailability {
-    leaving: bool,
+    draining: bool,
     pause: Option<RequestPause>,
     /// Refusals in a row.
     refusals: u32,
@@ -63,29 +63,29 @@
 
 impl ServerAvailability {
     /// Whether a new request may be sent at `now`.
-    pub fn opening(&self, now: Instant) -> ServerOpening {
-        if self.leaving {
-            return ServerOpening::Leaving;
+    pub fn eligibility(&self, now: Instant) -> ServerEligibility {
+        if self.draining {
+            return ServerEligibility::Draining;
         }
         let Some(pause) = self.pause else {
-            return ServerOpening::Open;
+            return ServerEligibility::Open;
         };
         let Some(until) = pause.until else {
-            return ServerOpening::Paused(None);
+            return ServerEligibility::Paused(None);
         };
         let ended = now >= until;
         if ended && pause.trying < pause.trials {
-            return ServerOpening::Open;
+            return ServerEligibility::Open;
         }
         if !pause.wanted {
-            return ServerOpening::Avoided;
+            return ServerEligibility::LastResort;
         }
-        ServerOpening::Paused(Some(if ended { now + TRIAL_TIME } else { until }))
+        ServerEligibility::Paused(Some(if ended { now + TRIAL_TIME } else { until }))
     }
 
     /// Whether the server leaves.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving
+    pub fn is_draining(&self) -> bool {
+        self.draining
     }
 
     /// Whether the server named a time for which it wants nothing, and none of
@@ -95,8 +95,8 @@
     }
 
     /// Notes that the server leaves; whether that is new.
-    pub fn note_leaving(&mut self) -> bool {
-        !std::mem::replace(&mut self.leaving, true)
+    pub fn note_draining(&mut self) -> bool {
+        !std::mem::replace(&mut self.draining, true)
     }
 
     /// Counts a request that is sent at `now`; whether it tries a server that
@@ -114,8 +114,8 @@
 
     /// Whether a request that was counted, but has not left yet, may still be
     /// sent at `now`; `trial` is what [`Self::note_sent`] said of it.
-    pub fn still_takes(&self, trial: bool, now: Instant) -> bool {
-        if self.leaving {
+    pub fn still_accepts(&self, trial: bool, now: Instant) -> bool {
+        if self.draining {
             return false;
         }
         let Some(pause) = self.pause.filter(|pause| pause.wanted) else {
@@ -126,7 +126,7 @@
 
     /// The server took a request; `trial` is what [`Self::note_sent`] said of
     /// it. One that was sent before a refusal shows nothing.
-    pub fn note_taken(&mut self, trial: bool) {
+    pub fn note_accepted(&mut self, trial: bool) {
         let Some(pause) = &mut self.pause else {
             self.refusals = 0;
             return;
--- a/crates/hibiscus-routing/src/health.rs
+++ b/crates/hibiscus-routing/src/health.rs
@@ -45,12 +45,12 @@
     }
 
     /// Counts a request that the server answered.
-    pub fn note_answered(&mut self) {
+    pub fn note_success(&mut self) {
         *self = Self::default();
     }
 
     /// Counts a request that showed nothing, such as one whose caller left.
-    pub fn note_nothing(&mut self) {
+    pub fn note_inconclusive(&mut self) {
         self.probed = false;
     }
 }
--- a/crates/hibiscus-routing/src/load.rs
+++ b/crates/hibiscus-routing/src/load.rs
@@ -35,7 +35,7 @@
     /// Address of its HTTP port.
     pub address: SocketAddr,
     /// Whether it is leaving.
-    pub leaving: bool,
+    pub draining: bool,
     /// Requests in progress by its last report.
     pub reported: u32,
     /// Requests that this process has in progress there.
@@ -78,7 +78,7 @@
 
     /// Takes a report of `load` requests in progress, made at `made`. One
     /// made before the last is ignored.
-    pub fn take_report(&mut self, load: u32, made: Instant) {
+    pub fn note_report(&mut self, load: u32, made: Instant) {
         if self.report.is_some_and(|report| made < report.made) {
             return;
         }
--- a/crates/hibiscus-routing/src/placement.rs
+++ b/crates/hibiscus-routing/src/placement.rs
@@ -43,21 +43,21 @@
 
 /// What is believed of one server's prompt cache and prefill queue.
 #[derive(Clone, Debug, Default)]
-pub struct PrefillBook {
+pub struct PrefillTracker {
     parts: BTreeMap<u64, Duration>,
     order: VecDeque<(Duration, u64)>,
-    unread: u64,
+    prefill_tokens: u64,
 }
 
-impl PrefillBook {
+impl PrefillTracker {
     /// Prompt tokens sent whose first output token has not been seen.
-    pub fn unread(&self) -> u64 {
-        self.unread
+    pub fn prefill_tokens(&self) -> u64 {
+        self.prefill_tokens
     }
 
-    /// Counts a prompt sent at `now` of which the server reads `unread` tokens.
-    pub fn note_sent(&mut self, parts: &[PartTokens], unread: u64, now: Duration) {
-        self.unread = self.unread.saturating_add(unread);
+    /// Counts a prompt sent at `now` of which the server reads `prefill_tokens` tokens.
+    pub fn note_sent(&mut self, parts: &[PartTokens], prefill_tokens: u64, now: Duration) {
+        self.prefill_tokens = self.prefill_tokens.saturating_add(prefill_tokens);
         for (id, _tokens) in parts {
             self.parts.insert(*id, now);
             self.order.push_back((now, *id));
@@ -66,8 +66,8 @@
     }
 
     /// The first token of a prompt came, or the prompt ended without one.
-    pub fn note_read(&mut self, unread: u64) {
-        self.unread = self.unread.saturating_sub(unread);
+    pub fn note_prefill_done(&mut self, prefill_tokens: u64) {
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(prefill_tokens);
     }
 
     /// Tokens of `parts` that the server has to read.
@@ -105,11 +105,11 @@
 
 /// One server as the choice sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementView<'a> {
+pub struct PlacementCandidate<'a> {
     /// Its name, for the homes.
     pub name: &'a str,
     /// What is believed of its cache.
-    pub book: &'a PrefillBook,
+    pub prefill: &'a PrefillTracker,
     /// Requests expected in progress, from all instances.
     pub expected: f64,
     /// Requests that waited by its last report.
@@ -122,18 +122,18 @@
     pub connected: bool,
     /// Its place in this instance's own order of the servers, from 0 to 1:
     /// instances that know as little of the load must not choose alike.
-    pub order: f64,
+    pub jitter: f64,
 }
 
 /// The place of `server` in the order of the instance `own`.
-pub fn order_of(own: &str, server: &str) -> f64 {
+pub fn jitter_of(own: &str, server: &str) -> f64 {
     let drawn = stable_hash(&[own.as_bytes(), server.as_bytes()]);
     drawn as f64 / u64::MAX as f64
 }
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct PlacementCase<'a> {
+pub struct PlacementRequest<'a> {
     /// The prompt's parts that other requests may share.
     pub shared: &'a [PartTokens],
     /// The prompt's own tokens.
@@ -144,26 +144,29 @@
 
 /// The server with the lowest predicted time, with the tokens that it has to
 /// read; `None` without servers.
-pub fn choose(servers: &[PlacementView<'_>], case: &PlacementCase<'_>) -> Option<(usize, u64)> {
+pub fn choose(
+    servers: &[PlacementCandidate<'_>],
+    case: &PlacementRequest<'_>,
+) -> Option<(usize, u64)> {
     let home = home_of(servers, case);
     let mut best: Option<(usize, f64, f64)> = None;
     for (index, server) in servers.iter().enumerate() {
         let missing = server
-            .book
+            .prefill
             .missing(case.shared, home == Some(index), case.now);
-        let unread = missing + case.own_tokens as f64;
+        let prefill_tokens = missing + case.own_tokens as f64;
         let again = missing * (AGAIN_WEIGHT - 1.0) / PREFILL_PER_MS;
-        let cost = predicted_ms(server, unread) + again;
+        let cost = predicted_ms(server, prefill_tokens) + again;
         if best.is_none_or(|(_index, least, _unread)| cost < least) {
-            best = Some((index, cost, unread));
+            best = Some((index, cost, prefill_tokens));
         }
     }
-    best.map(|(index, _cost, unread)| (index, unread as u64))
+    best.map(|(index, _cost, prefill_tokens)| (index, prefill_tokens as u64))
 }
 
-/// Milliseconds until the first token of a prompt with `unread` tokens.
-fn predicted_ms(server: &PlacementView<'_>, unread: f64) -> f64 {
-    let queue = server.book.unread() as f64 / PREFILL_PER_MS;
+/// Milliseconds until the first token of a prompt with `prefill_tokens` tokens.
+fn predicted_ms(server: &PlacementCandidate<'_>, prefill_tokens: f64) -> f64 {
+    let queue = server.prefill.prefill_tokens() as f64 / PREFILL_PER_MS;
     let places = f64::from(server.slots.max(1));
     let beyond = (server.expected + 1.0 - places).max(0.0);
     let waiting = f64::from(server.waiting) + beyond;
@@ -171,16 +174,16 @@
     let remote = if server.remote { 1.0 } else { 0.0 };
     let connect = if server.connected { 0.0 } else { CONNECT_MS };
     queue
-        + unread / PREFILL_PER_MS
+        + prefill_tokens / PREFILL_PER_MS
         + server.expected * REQUEST_MS * (8.0 / places).min(1.0)
         + waiting * WAITING_MS
         + remote
         + connect
-        + server.order * ORDER_MS
+        + server.jitter * ORDER_MS
 }
 
 /// The server that all instances take for the home of the last shared part.
-fn home_of(servers: &[PlacementView<'_>], case: &PlacementCase<'_>) -> Option<usize> {
+fn home_of(servers: &[PlacementCandidate<'_>], case: &PlacementRequest<'_>) -> Option<usize> {
     let (part, _tokens) = case.shared.last()?;
     let part = part.to_be_bytes();
     let ranked = servers.iter().enumerate();
--- a/crates/hibiscus-routing/src/policy.rs
+++ b/crates/hibiscus-routing/src/policy.rs
@@ -89,7 +89,7 @@
     let count = servers.len();
     for step in 0..count {
         let index = (start + step) % count;
-        if !servers[index].leaving {
+        if !servers[index].draining {
             return Some(index);
         }
     }
@@ -105,7 +105,7 @@
     let mut lowest = f64::INFINITY;
     for step in 0..servers.len() {
         let index = (start + step) % servers.len();
-        if servers[index].leaving {
+        if servers[index].draining {
             continue;
         }
         let cost = cost(&servers[index]);
--- a/crates/hibiscus-routing/tests/availability.rs
+++ b/crates/hibiscus-routing/tests/availability.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use hibiscus_routing::availability::ServerAvailability;
-use hibiscus_routing::availability::ServerOpening;
+use hibiscus_routing::availability::ServerEligibility;
 use proptest::collection::vec;
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
@@ -23,14 +23,14 @@
 fn a_server_that_leaves_takes_nothing_more() {
     let now = Instant::now();
     let mut availability = ServerAvailability::default();
-    assert!(availability.note_leaving());
-    assert!(!availability.note_leaving());
-    availability.note_taken(false);
+    assert!(availability.note_draining());
+    assert!(!availability.note_draining());
+    availability.note_accepted(false);
     availability.note_refused(Some(ms(10)), now);
     for later in [0, 11, 3_600_000] {
-        let opening = availability.opening(now + ms(later));
-        assert_eq!(opening, ServerOpening::Leaving);
-        assert!(!availability.still_takes(true, now + ms(later)));
+        let eligibility = availability.eligibility(now + ms(later));
+        assert_eq!(eligibility, ServerEligibility::Draining);
+        assert!(!availability.still_accepts(true, now + ms(later)));
     }
 }
 
@@ -40,29 +40,29 @@
     let mut availability = ServerAvailability::default();
     availability.note_refused(Some(ms(3_000)), now);
     let end = now + ms(3_000);
-    let paused = ServerOpening::Paused(Some(end));
-    assert_eq!(availability.opening(now), paused);
-    assert_eq!(availability.opening(end - ms(1)), paused);
-    assert_eq!(availability.opening(end), ServerOpening::Open);
+    let paused = ServerEligibility::Paused(Some(end));
+    assert_eq!(availability.eligibility(now), paused);
+    assert_eq!(availability.eligibility(end - ms(1)), paused);
+    assert_eq!(availability.eligibility(end), ServerEligibility::Open);
     let mut sent = 0;
     for round in 0..4 {
         let mut trials = 0;
-        while availability.opening(end) == ServerOpening::Open && trials < 100 {
+        while availability.eligibility(end) == ServerEligibility::Open && trials < 100 {
             assert!(availability.note_sent(end));
-            assert!(availability.still_takes(true, end));
+            assert!(availability.still_accepts(true, end));
             trials += 1;
         }
         assert_eq!(trials, 1 << round);
         sent += trials;
-        assert!(!availability.still_takes(false, end));
-        availability.note_taken(true);
+        assert!(!availability.still_accepts(false, end));
+        availability.note_accepted(true);
         for _other in 1..trials {
             availability.note_unanswered(true);
         }
     }
     assert_eq!(sent, 15);
     assert!(!availability.note_sent(end));
-    assert_eq!(availability.opening(end), ServerOpening::Open);
+    assert_eq!(availability.eligibility(end), ServerEligibility::Open);
 }
 
 #[test]
@@ -72,11 +72,11 @@
     let trial = availability.note_sent(now);
     availability.note_refused(Some(ms(500)), now);
     for _late in 0..20 {
-        availability.note_taken(trial);
+        availability.note_accepted(trial);
     }
     assert!(matches!(
-        availability.opening(now + ms(499)),
-        ServerOpening::Paused(Some(_))
+        availability.eligibility(now + ms(499)),
+        ServerEligibility::Paused(Some(_))
     ));
 }
 
@@ -88,13 +88,13 @@
     availability.note_refused(None, now + ms(5));
     availability.note_refused(Some(ms(1_000)), now + ms(6));
     assert_eq!(
-        availability.opening(now + ms(3_999)),
-        ServerOpening::Paused(Some(now + ms(4_000)))
+        availability.eligibility(now + ms(3_999)),
+        ServerEligibility::Paused(Some(now + ms(4_000)))
     );
     availability.note_refused(Some(ms(9_000)), now + ms(7));
     assert_eq!(
-        availability.opening(now + ms(9_006)),
-        ServerOpening::Paused(Some(now + ms(9_007)))
+        availability.eligibility(now + ms(9_006)),
+        ServerEligibility::Paused(Some(now + ms(9_007)))
     );
 }
 
@@ -106,8 +106,8 @@
     availability.note_refused(Some(ms(1)), now);
     let year = Duration::from_secs(365 * 24 * 3_600);
     assert_eq!(
-        availability.opening(now + year),
-        ServerOpening::Paused(None)
+        availability.eligibility(now + year),
+        ServerEligibility::Paused(None)
     );
 }
 
@@ -118,7 +118,7 @@
     let mut tried = 0;
     let end = now + Duration::from_secs(60);
     while now < end {
-        if availability.opening(now) == ServerOpening::Open {
+        if availability.eligibility(now) == ServerEligibility::Open {
             availability.note_sent(now);
             availability.note_refused(None, now);
             tried += 1;
@@ -126,7 +126,7 @@
         now += ms(10);
     }
     assert!((30..40).contains(&tried), "{tried} requests in a minute");
-    assert_eq!(availability.opening(now), ServerOpening::Avoided);
+    assert_eq!(availability.eligibility(now), ServerEligibility::LastResort);
 }
 
 /// What happens at one server.
@@ -166,7 +166,7 @@
         for event in events {
             match event {
                 ServerEvent::Leaves => {
-                    availability.note_leaving();
+                    availability.note_draining();
                     leaves = true;
                 }
                 ServerEvent::StartsAnew => {
@@ -174,7 +174,7 @@
                     flights.clear();
                     paused_until = now;
                     leaves = false;
-                    prop_assert!(availability.opening(now) == ServerOpening::Open);
+                    prop_assert!(availability.eligibility(now) == ServerEligibility::Open);
                 }
                 ServerEvent::Refuses(wanted) => {
                     let wanted = wanted.map(ms);
@@ -184,17 +184,17 @@
                     }
                 }
                 ServerEvent::Sent => {
-                    let opening = availability.opening(now);
-                    let sent = matches!(opening, ServerOpening::Open | ServerOpening::Avoided);
+                    let eligibility = availability.eligibility(now);
+                    let sent = matches!(eligibility, ServerEligibility::Open | ServerEligibility::LastResort);
                     if sent {
                         prop_assert!(!leaves && now >= paused_until);
                         let trial = availability.note_sent(now);
-                        prop_assert!(availability.still_takes(trial, now));
+                        prop_assert!(availability.still_accepts(trial, now));
                         flights.push(trial);
                     }
                 }
                 ServerEvent::Taken(number) if number < flights.len() => {
-                    availability.note_taken(flights.swap_remove(number));
+                    availability.note_accepted(flights.swap_remove(number));
                 }
                 ServerEvent::Unanswered(number) if number < flights.len() => {
                     availability.note_unanswered(flights.swap_remove(number));
@@ -203,13 +203,13 @@
                 ServerEvent::Passes(millis) => now += ms(millis),
             }
             // What was counted before must not leave within the pause.
-            let may_leave = [true, false].map(|trial| availability.still_takes(trial, now));
+            let may_leave = [true, false].map(|trial| availability.still_accepts(trial, now));
             prop_assert!((!leaves && now >= paused_until) || may_leave == [false, false]);
         }
         for trial in flights {
             availability.note_unanswered(trial);
         }
         let later = now.max(paused_until) + TRIED_AGAIN;
-        prop_assert!(leaves || availability.opening(later) == ServerOpening::Open);
+        prop_assert!(leaves || availability.eligibility(later) == ServerEligibility::Open);
     }
 }
--- a/crates/hibiscus-routing/tests/choosers.rs
+++ b/crates/hibiscus-routing/tests/choosers.rs
@@ -13,9 +13,9 @@
 
 use hibiscus_routing::load::LoadTracker;
 use hibiscus_routing::placement;
-use hibiscus_routing::placement::PlacementCase;
-use hibiscus_routing::placement::PlacementView;
-use hibiscus_routing::placement::PrefillBook;
+use hibiscus_routing::placement::PlacementCandidate;
+use hibiscus_routing::placement::PlacementRequest;
+use hibiscus_routing::placement::PrefillTracker;
 
 const SERVERS: usize = 6;
 const PLACES: usize = 6;
@@ -92,27 +92,27 @@
             second
         };
     }
-    let book = PrefillBook::default();
+    let prefill = PrefillTracker::default();
     let is_own = rule == ChoiceRule::OwnOrder;
     let views: Vec<_> = names
         .iter()
         .zip(known)
-        .map(|(name, server)| PlacementView {
+        .map(|(name, server)| PlacementCandidate {
             name,
-            book: &book,
+            prefill: &prefill,
             expected: server.load.expected(now, others),
             waiting: 0,
             slots: PLACES as u32,
             remote: false,
             connected: !is_own || server.kept_until.is_some_and(|until| until > millis),
-            order: if is_own {
-                placement::order_of(own, name)
+            jitter: if is_own {
+                placement::jitter_of(own, name)
             } else {
                 0.0
             },
         })
         .collect();
-    let case = PlacementCase {
+    let case = PlacementRequest {
         shared: &[],
         own_tokens: 0,
         now: Duration::from_millis(millis),
@@ -149,7 +149,7 @@
             let seen = &mut known[instance][number];
             let load = server.running + server.queue.len();
             seen.load
-                .take_report(u32::try_from(load).expect("few"), now);
+                .note_report(u32::try_from(load).expect("few"), now);
             seen.load.note_ended(now);
             seen.kept_until = Some(millis + KEPT_MS);
         }
--- a/crates/hibiscus-routing/tests/health.rs
+++ b/crates/hibiscus-routing/tests/health.rs
@@ -19,7 +19,7 @@
         health.note_sent();
         assert!(!health.is_usable(now));
     }
-    health.note_answered();
+    health.note_success();
     assert!(health.is_usable(now));
 }
 
@@ -31,6 +31,6 @@
     let later = start + Duration::from_secs(2);
     health.note_sent();
     assert!(!health.is_usable(later));
-    health.note_nothing();
+    health.note_inconclusive();
     assert!(health.is_usable(later));
 }
--- a/crates/hibiscus-routing/tests/load.rs
+++ b/crates/hibiscus-routing/tests/load.rs
@@ -5,7 +5,7 @@
 
 use hibiscus_routing::affinity::CacheChange;
 use hibiscus_routing::affinity::CacheEvent;
-use hibiscus_routing::affinity::PrefixBelief;
+use hibiscus_routing::affinity::PrefixEstimate;
 use hibiscus_routing::load::LoadTracker;
 use hibiscus_routing::load::REPORT_LIFETIME;
 use hibiscus_routing::load::ServerLoad;
@@ -22,7 +22,7 @@
         name: "server".into(),
         service: "service".into(),
         address: ([127, 0, 0, 1], 1).into(),
-        leaving: false,
+        draining: false,
         reported: 0,
         own: 0,
         expected,
@@ -37,7 +37,7 @@
     let mut load = LoadTracker::default();
     load.note_sent(start);
     // Made while this process had one of the five in progress.
-    load.take_report(5, start + SECOND);
+    load.note_report(5, start + SECOND);
     load.note_sent(start + 2 * SECOND);
     assert!((load.expected(start + 2 * SECOND, 0) - 6.0).abs() < 1e-9);
     // One other router is taken to have sent nearly as much.
@@ -50,9 +50,9 @@
     let mut load = LoadTracker::default();
     load.note_sent(start);
     load.note_sent(start + 2 * SECOND);
-    load.take_report(4, start + SECOND);
+    load.note_report(4, start + SECOND);
     assert!((load.expected(start + 3 * SECOND, 0) - 5.0).abs() < 1e-9);
-    load.take_report(9, start);
+    load.note_report(9, start);
     assert_eq!(load.reported(), 4);
 }
 
@@ -60,7 +60,7 @@
 fn an_old_report_is_not_used() {
     let start = Instant::now();
     let mut load = LoadTracker::default();
-    load.take_report(50, start);
+    load.note_report(50, start);
     assert!(load.is_fresh(start + REPORT_LIFETIME));
     let later = start + REPORT_LIFETIME + SECOND;
     assert!(!load.is_fresh(later));
@@ -71,15 +71,15 @@
 #[test]
 fn no_policy_chooses_a_leaving_server() {
     let mut servers = vec![server(0.0), server(9.0), server(0.0)];
-    servers[0].leaving = true;
-    servers[2].leaving = true;
+    servers[0].draining = true;
+    servers[2].draining = true;
     for pick in 0..50 {
         assert_eq!(LagAware.choose(&servers, pick), Some(1));
         assert_eq!(LeastReported.choose(&servers, pick), Some(1));
         assert_eq!(RandomChoice.choose(&servers, pick), Some(1));
         assert_eq!(RoundRobin::default().choose(&servers, pick), Some(1));
     }
-    servers[1].leaving = true;
+    servers[1].draining = true;
     assert_eq!(LagAware.choose(&servers, 1), None);
     assert_eq!(LagAware.choose(&[], 1), None);
 }
@@ -101,7 +101,7 @@
         prefix,
         change,
     };
-    let mut belief = PrefixBelief::default();
+    let mut belief = PrefixEstimate::default();
     belief.take(&event(0, 7, CacheChange::Stored));
     assert!((belief.of(7) - 1.0).abs() < 1e-9);
     belief.take(&event(2, 8, CacheChange::Stored));
--- a/crates/hibiscus-routing/tests/placement.rs
+++ b/crates/hibiscus-routing/tests/placement.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use hibiscus_routing::placement;
-use hibiscus_routing::placement::PlacementCase;
-use hibiscus_routing::placement::PlacementView;
-use hibiscus_routing::placement::PrefillBook;
+use hibiscus_routing::placement::PlacementCandidate;
+use hibiscus_routing::placement::PlacementRequest;
+use hibiscus_routing::placement::PrefillTracker;
 
 const NOW: Duration = Duration::from_secs(100);
 /// Shared parts of a session: a part of many sessions, then its own.
@@ -14,7 +14,7 @@
 /// Servers that differ by name only.
 struct TestFleet {
     names: Vec<String>,
-    books: Vec<PrefillBook>,
+    books: Vec<PrefillTracker>,
     expected: Vec<f64>,
     remote: Vec<bool>,
 }
@@ -23,7 +23,7 @@
     fn new(count: usize) -> Self {
         Self {
             names: (0..count).map(|index| format!("i-{index}")).collect(),
-            books: vec![PrefillBook::default(); count],
+            books: vec![PrefillTracker::default(); count],
             expected: vec![0.0; count],
             remote: vec![false; count],
         }
@@ -31,19 +31,19 @@
 
     fn choose(&self, shared: &[(u64, u64)], own_tokens: u64) -> (usize, u64) {
         let mut views = Vec::new();
-        for (index, book) in self.books.iter().enumerate() {
-            views.push(PlacementView {
+        for (index, prefill) in self.books.iter().enumerate() {
+            views.push(PlacementCandidate {
                 name: &self.names[index],
-                book,
+                prefill,
                 expected: self.expected[index],
                 waiting: 0,
                 slots: 8,
                 remote: self.remote[index],
                 connected: true,
-                order: 0.0,
+                jitter: 0.0,
             });
         }
-        let case = PlacementCase {
+        let case = PlacementRequest {
             shared,
             own_tokens,
             now: NOW,
@@ -67,7 +67,7 @@
     let mut fleet = TestFleet::new(6);
     let (home, before) = fleet.choose(&SESSION, 500);
     fleet.books[home].note_sent(&SESSION, before, NOW);
-    fleet.books[home].note_read(before);
+    fleet.books[home].note_prefill_done(before);
     let (again, after) = fleet.choose(&SESSION, 500);
     assert_eq!((again, after), (home, 500));
     assert!(before > after);
@@ -79,8 +79,8 @@
     let mut fleet = TestFleet::new(6);
     let mut used = std::collections::BTreeSet::new();
     for _request in 0..60 {
-        let (server, unread) = fleet.choose(&SESSION, 2_900);
-        fleet.books[server].note_sent(&SESSION, unread, NOW);
+        let (server, prefill_tokens) = fleet.choose(&SESSION, 2_900);
+        fleet.books[server].note_sent(&SESSION, prefill_tokens, NOW);
         used.insert(server);
     }
     assert!(used.len() >= 4, "only {used:?} got the hot session");
@@ -111,8 +111,8 @@
 
 #[test]
 fn parts_are_forgotten_after_their_lifetime() {
-    let mut book = PrefillBook::default();
-    book.note_sent(&SESSION, 0, Duration::from_secs(1));
-    assert!(book.missing(&SESSION, false, Duration::from_secs(2)) < 1.0);
-    assert!(book.missing(&SESSION, false, Duration::from_secs(90)) > 6_000.0);
+    let mut prefill = PrefillTracker::default();
+    prefill.note_sent(&SESSION, 0, Duration::from_secs(1));
+    assert!(prefill.missing(&SESSION, false, Duration::from_secs(2)) < 1.0);
+    assert!(prefill.missing(&SESSION, false, Duration::from_secs(90)) > 6_000.0);
 }
--- a/crates/hibiscus-traffic/src/standings.rs
+++ b/crates/hibiscus-traffic/src/availability_table.rs
@@ -22,13 +22,13 @@
 
 /// What processes have said of new requests.
 #[derive(Debug, Default)]
-pub struct ServerStandings {
+pub struct AvailabilityTable {
     known: HashMap<ServerStart, SharedAvailability>,
     /// Those without an entry, the oldest first.
     absent: VecDeque<ServerStart>,
 }
 
-impl ServerStandings {
+impl AvailabilityTable {
     /// What the process `start` has said.
     pub fn of(&mut self, start: &ServerStart) -> SharedAvailability {
         let known = self.known.entry(start.clone()).or_default();
@@ -36,9 +36,9 @@
     }
 
     /// Notes that `start` leaves; whether that is new.
-    pub fn note_leaving(&mut self, start: &ServerStart) -> bool {
+    pub fn note_draining(&mut self, start: &ServerStart) -> bool {
         let is_known = self.known.contains_key(start);
-        let new = self.of(start).borrow_mut().note_leaving();
+        let new = self.of(start).borrow_mut().note_draining();
         if !is_known {
             self.note_absent(start);
         }
@@ -52,7 +52,7 @@
             return;
         };
         let said = *known.borrow();
-        if !said.is_leaving() && !said.is_paused() {
+        if !said.is_draining() && !said.is_paused() {
             self.known.remove(start);
             return;
         }
--- a/crates/hibiscus-traffic/src/endings.rs
+++ b/crates/hibiscus-traffic/src/crash_detector.rs
@@ -2,7 +2,7 @@
 //!
 //! A server that ends closes all its connections and its port. One that resets
 //! a single answer, or is cut off from here, has ended under nobody. The
-//! request path only notes what broke ([`EndingWatch`]); [`keep`] gathers what
+//! request path only notes what broke ([`CrashDetector`]); [`run`] gathers what
 //! broke at the same moment and looks at the server once.
 
 use std::cell::Cell;
@@ -16,8 +16,8 @@
 use bytes::Bytes;
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_request::print::RequestPrint;
-use hibiscus_request::print::RequestSketch;
+use hibiscus_request::fingerprint::CoarseFingerprint;
+use hibiscus_request::fingerprint::RequestFingerprint;
 use hibiscus_types::TeamName;
 use http::Uri;
 use metrics::counter;
@@ -32,7 +32,7 @@
 use crate::state::TrafficState;
 
 /// Servers that ended with requests of this instance on them.
-pub const SERVERS_ENDED: &str = "hibiscus_servers_ended_total";
+pub const SERVERS_CRASHED: &str = "hibiscus_servers_ended_total";
 
 /// Time in which what broke at one server is gathered: its connections end
 /// within a few milliseconds of each other.
@@ -56,7 +56,7 @@
     pub body: Bytes,
     /// Counts the body's bytes for as long as it is kept.
     _body_bytes: BodyBytes,
-    print: OnceCell<RequestPrint>,
+    fingerprint: OnceCell<RequestFingerprint>,
 }
 
 impl RequestIdentity {
@@ -71,7 +71,7 @@
             target,
             body,
             _body_bytes: body_bytes,
-            print: OnceCell::new(),
+            fingerprint: OnceCell::new(),
         }
     }
 
@@ -91,15 +91,15 @@
     }
 
     /// Its print without the body's bytes.
-    pub fn sketch(&self) -> RequestSketch {
-        RequestSketch::of(self.team(), self.path(), self.body.len())
+    pub fn coarse(&self) -> CoarseFingerprint {
+        CoarseFingerprint::of(self.team(), self.path(), self.body.len())
     }
 
     /// Its print, which takes a hash of the body the first time.
-    pub fn print(&self) -> RequestPrint {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         *self
-            .print
-            .get_or_init(|| RequestPrint::of(self.team(), self.path(), &self.body))
+            .fingerprint
+            .get_or_init(|| RequestFingerprint::of(self.team(), self.path(), &self.body))
     }
 }
 
@@ -109,12 +109,12 @@
     /// All of it, until its answer has begun.
     Identity(Rc<RequestIdentity>),
     /// Its print, and the bytes of its body.
-    Print(RequestPrint, usize),
+    Print(RequestFingerprint, usize),
 }
 
 /// A request at a server that may yet end under it.
 #[derive(Clone, Debug)]
-pub struct ExposedRequest {
+pub struct CrashCandidate {
     /// Its number, for the log.
     pub id: String,
     subject: RequestSubject,
@@ -124,7 +124,7 @@
     pub known: u8,
 }
 
-impl ExposedRequest {
+impl CrashCandidate {
     /// The request `id`, which is sent now, with `known` rounds of ends.
     pub fn new(id: &str, identity: &Rc<RequestIdentity>, known: u8) -> Self {
         Self {
@@ -136,10 +136,10 @@
     }
 
     /// Its print.
-    pub fn print(&self) -> RequestPrint {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         match &self.subject {
-            RequestSubject::Identity(identity) => identity.print(),
-            RequestSubject::Print(print, _bytes) => *print,
+            RequestSubject::Identity(identity) => identity.fingerprint(),
+            RequestSubject::Print(fingerprint, _bytes) => *fingerprint,
         }
     }
 
@@ -153,22 +153,22 @@
 
     /// Gives the body up, and keeps the print.
     fn drop_body(&mut self) {
-        self.subject = RequestSubject::Print(self.print(), self.bytes());
+        self.subject = RequestSubject::Print(self.fingerprint(), self.bytes());
     }
 }
 
 /// The request of a stream, for as long as its server may end under it.
 #[derive(Debug)]
-pub struct StreamExposure {
-    request: Option<ExposedRequest>,
+pub struct StreamCandidate {
+    request: Option<CrashCandidate>,
     /// When its first event came.
     begun: Option<Instant>,
-    watch: Rc<EndingWatch>,
+    watch: Rc<CrashDetector>,
 }
 
-impl StreamExposure {
+impl StreamCandidate {
     /// The exposure of `request`, which has not begun to be answered.
-    pub fn new(request: ExposedRequest, watch: Rc<EndingWatch>) -> Self {
+    pub fn new(request: CrashCandidate, watch: Rc<CrashDetector>) -> Self {
         Self {
             request: Some(request),
             begun: None,
@@ -204,13 +204,13 @@
 #[derive(Debug)]
 struct EndingCase {
     server: Rc<ServerHandle>,
-    requests: Vec<ExposedRequest>,
+    requests: Vec<CrashCandidate>,
     is_taken: bool,
 }
 
 /// Takes note of requests that servers broke off.
 #[derive(Debug, Default)]
-pub struct EndingWatch {
+pub struct CrashDetector {
     cases: RefCell<HashMap<ServerStart, EndingCase>>,
     /// Servers that were found open, and when.
     open: RefCell<HashMap<ServerStart, Instant>>,
@@ -219,10 +219,10 @@
     noted: Notify,
 }
 
-impl EndingWatch {
+impl CrashDetector {
     /// The server broke a connection off, with `request` on it if that may have
     /// ended the server, or refuses new ones.
-    pub fn note_broken(&self, server: &Rc<ServerHandle>, request: Option<ExposedRequest>) {
+    pub fn note_broken(&self, server: &Rc<ServerHandle>, request: Option<CrashCandidate>) {
         if server.is_closed() && request.is_none() {
             return;
         }
@@ -244,7 +244,7 @@
     }
 
     /// A server has ended.
-    pub fn note_end(&self) {
+    pub fn note_crash(&self) {
         self.last_end.set(Some(Instant::now()));
     }
 
@@ -267,7 +267,7 @@
     }
 
     /// The look at `server` is over: the requests that broke there.
-    fn close(&self, server: &ServerHandle, port: PortState) -> Vec<ExposedRequest> {
+    fn close(&self, server: &ServerHandle, port: PortState) -> Vec<CrashCandidate> {
         let process = server.entry.start();
         if port == PortState::Open {
             let mut open = self.open.borrow_mut();
@@ -280,10 +280,10 @@
 }
 
 /// Looks at servers that broke requests off for as long as the runtime runs.
-pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     loop {
-        state.endings.noted.notified().await;
-        for server in state.endings.take_new() {
+        state.crash_detector.noted.notified().await;
+        for server in state.crash_detector.take_new() {
             tokio::task::spawn_local(look(Rc::clone(&state), server));
         }
     }
@@ -297,7 +297,7 @@
     } else {
         connect::look_at_port(server.entry.address).await
     };
-    let requests = state.endings.close(&server, port);
+    let requests = state.crash_detector.close(&server, port);
     let entry = &server.entry;
     // One that leaves as planned ends with or without requests on it.
     if port != PortState::Closed || !server.is_serving() {
@@ -311,7 +311,7 @@
         );
         return;
     }
-    counter!(SERVERS_ENDED).increment(1);
+    counter!(SERVERS_CRASHED).increment(1);
     event!(
         EventCode::ServerEnded,
         "server={} started={} requests={}",
@@ -320,7 +320,7 @@
         requests.len()
     );
     server.note_closed();
-    state.endings.note_end();
+    state.crash_detector.note_crash();
     let now = state.now();
-    state.suspects.note_end(&server, &requests, now);
+    state.suspects.note_crash(&server, &requests, now);
 }
--- a/crates/hibiscus-traffic/src/flight.rs
+++ b/crates/hibiscus-traffic/src/flight.rs
@@ -8,7 +8,7 @@
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
 use hibiscus_ledger::account::purse::TokenHold;
-use hibiscus_request::print::RequestPrint;
+use hibiscus_request::fingerprint::RequestFingerprint;
 use hibiscus_routing::placement::PartTokens;
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
@@ -16,7 +16,7 @@
 use crate::budgets::BudgetHandle;
 use crate::callers::CallerRequest;
 use crate::connect::ServerLink;
-use crate::endings::StreamExposure;
+use crate::crash_detector::StreamCandidate;
 use crate::measures::RequestOutcome;
 use crate::measures::TrafficMeasures;
 use crate::model::RequestKind;
@@ -24,7 +24,7 @@
 use crate::servers::ChosenServer;
 use crate::servers::ServerHandle;
 use crate::state::CountGuard;
-use crate::suspects::SuspectDesk;
+use crate::suspects::SuspectTracker;
 use crate::tally::CloseReason;
 
 /// A request's reservation. It is settled once, when the last owner is
@@ -82,7 +82,7 @@
 pub struct ServerFlight {
     server: Rc<ServerHandle>,
     link: Option<ServerLink>,
-    unread: Option<u64>,
+    prefill_tokens: Option<u64>,
     /// Whether it tries the server after a refusal, until the server's word.
     trial: Option<bool>,
 }
@@ -91,11 +91,11 @@
     /// Counts a request with the shared `parts` at the chosen server, from
     /// before there is a connection until the flight is dropped.
     pub fn begin(chosen: &ChosenServer, parts: &[PartTokens], now: Duration) -> Self {
-        let trial = chosen.server.note_sent(parts, chosen.unread, now);
+        let trial = chosen.server.note_sent(parts, chosen.prefill_tokens, now);
         Self {
             server: Rc::clone(&chosen.server),
             link: None,
-            unread: Some(chosen.unread),
+            prefill_tokens: Some(chosen.prefill_tokens),
             trial: Some(trial),
         }
     }
@@ -118,13 +118,13 @@
     /// Whether the request may still be sent.
     pub fn may_leave(&self) -> bool {
         self.trial
-            .is_some_and(|trial| self.server.still_takes(trial))
+            .is_some_and(|trial| self.server.still_accepts(trial))
     }
 
     /// The server took the request.
-    pub fn note_taken(&mut self) {
+    pub fn note_accepted(&mut self) {
         if let Some(trial) = self.trial.take() {
-            self.server.note_taken(trial);
+            self.server.note_accepted(trial);
         }
     }
 
@@ -135,9 +135,9 @@
     }
 
     /// The first token came.
-    pub fn note_read(&mut self) {
-        if let Some(unread) = self.unread.take() {
-            self.server.note_read(unread);
+    pub fn note_prefill_done(&mut self) {
+        if let Some(prefill_tokens) = self.prefill_tokens.take() {
+            self.server.note_prefill_done(prefill_tokens);
         }
     }
 
@@ -162,7 +162,7 @@
 
 impl Drop for ServerFlight {
     fn drop(&mut self) {
-        self.note_read();
+        self.note_prefill_done();
         if let Some(trial) = self.trial {
             self.server.note_unanswered(trial);
         }
@@ -222,11 +222,11 @@
     /// Counts the request until its answer has passed.
     pub progress: RequestProgress,
     /// The request, for as long as its server may end under it.
-    pub exposure: StreamExposure,
+    pub exposure: StreamCandidate,
     /// Where to tell that it was answered.
-    pub suspects: Rc<SuspectDesk>,
+    pub suspects: Rc<SuspectTracker>,
     /// The request, if servers ended under it before.
-    pub suspect: Option<RequestPrint>,
+    pub suspect: Option<RequestFingerprint>,
 }
 
 impl FlightWatch {
@@ -241,8 +241,8 @@
             None => self.measures.first_event(self.kind, now - self.arrived),
             Some(before) => self.measures.event_gap(now - before),
         }
-        self.flight.note_read();
-        self.flight.server().note_heard();
+        self.flight.note_prefill_done();
+        self.flight.server().note_received();
         if let Some(charge) = &self.charge {
             charge.note_delivered(events * self.tokens_per_event);
         }
@@ -295,8 +295,8 @@
                     self.arrived.elapsed().as_millis()
                 );
                 server.note_healthy();
-                if let Some(print) = &self.suspect {
-                    self.suspects.note_answered(&self.id, print);
+                if let Some(fingerprint) = &self.suspect {
+                    self.suspects.note_response(&self.id, fingerprint);
                 }
                 self.flight.keep_link();
             }
--- a/crates/hibiscus-traffic/src/lib.rs
+++ b/crates/hibiscus-traffic/src/lib.rs
@@ -5,11 +5,11 @@
 //!
 //! - [`port`] accepts callers' connections, [`callers`] bounds them, and each
 //!   request goes to [`life`], which admits it, places it, forwards it and answers.
-//! - [`servers`] holds the backend servers that [`roster`] knows, with their
+//! - [`servers`] holds the backend servers that [`server_registry`] knows, with their
 //!   kept connections ([`connect`], [`bounded`], [`idle`]) and what their
-//!   processes have said of new requests ([`standings`]); [`relay`] passes an
+//!   processes have said of new requests ([`availability_table`]); [`relay`] passes an
 //!   answer's bytes on and checks that it is whole.
-//! - [`endings`] finds out whether a server that broke a request's connection
+//! - [`crash_detector`] finds out whether a server that broke a request's connection
 //!   has ended, and [`suspects`] what follows for those under which servers do.
 //! - [`supply`] gets a request's tokens from [`budgets`], or from the instances
 //!   that [`holders`] names; [`retries`] holds what may be sent twice,
@@ -20,7 +20,7 @@
 //! - [`shares`] divides the machine's memory among them; [`relief`] says what to
 //!   give up as it runs out.
 //! - [`relays`] says which instances read the operators' configuration and the
-//!   servers' entries as they come, [`change`] and [`server_news`] what they pass
+//!   servers' entries as they come, [`change`] and [`server_changes`] what they pass
 //!   on to the others.
 //! - [`updates`] is the ring by which the other duties' threads tell news;
 //!   everything is decided on this thread, so nothing here is locked.
@@ -29,15 +29,16 @@
 //! knows no protocol beyond HTTP.
 
 pub mod answer;
+pub mod availability_table;
 pub mod bounded;
 pub mod budgets;
 pub mod callers;
 pub mod change;
 pub mod clock;
 pub mod connect;
+pub mod crash_detector;
 pub mod dialect;
 pub mod directory;
-pub mod endings;
 pub mod flight;
 pub mod holders;
 pub mod idle;
@@ -55,12 +56,11 @@
 pub mod relays;
 pub mod relief;
 pub mod retries;
-pub mod roster;
 pub mod send;
-pub mod server_news;
+pub mod server_changes;
+pub mod server_registry;
 pub mod servers;
 pub mod shares;
-pub mod standings;
 pub mod state;
 pub mod stream;
 pub mod supply;
--- a/crates/hibiscus-traffic/src/life.rs
+++ b/crates/hibiscus-traffic/src/life.rs
@@ -124,7 +124,7 @@
         return Err(OwnReason::Overloaded.into());
     }
     let admitted = admission::admit(state, signs, head, body, known).await?;
-    forwarding::check_standing(state, &admitted)?;
+    forwarding::check_suspect_status(state, &admitted)?;
     let charge = reservation::reserve(state, &admitted).await;
     let charge = charge.inspect_err(|_reason| reservation::log_shortage(state, &admitted))?;
     let forwarded = forwarding::forward(state, &admitted, charge).await?;
--- a/crates/hibiscus-traffic/src/life/admission.rs
+++ b/crates/hibiscus-traffic/src/life/admission.rs
@@ -15,9 +15,9 @@
 
 use crate::answer::OwnReason;
 use crate::callers::BodyBytes;
+use crate::crash_detector::RequestIdentity;
 use crate::dialect::CallerSigns;
 use crate::dialect::RequestDialect;
-use crate::endings::RequestIdentity;
 use crate::life::KnownRequest;
 use crate::life::Result;
 use crate::model::RouteRule;
--- a/crates/hibiscus-traffic/src/life/forwarding.rs
+++ b/crates/hibiscus-traffic/src/life/forwarding.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_request::print::RequestPrint;
+use hibiscus_request::fingerprint::RequestFingerprint;
 use hibiscus_routing::placement::PartTokens;
-use hibiscus_routing::placement::PlacementCase;
+use hibiscus_routing::placement::PlacementRequest;
 use hibiscus_types::ServerName;
 use http::Response;
 use http_body_util::BodyExt;
@@ -19,12 +19,12 @@
 use crate::answer::OwnReason;
 use crate::answer::OwnRefusal;
 use crate::connect::ConnectFault;
+use crate::crash_detector::CrashCandidate;
+use crate::crash_detector::CrashDetector;
+use crate::crash_detector::StreamCandidate;
 use crate::dialect::CallerSigns;
 use crate::dialect::RequestDialect;
 use crate::dialect::ServerSigns;
-use crate::endings::EndingWatch;
-use crate::endings::ExposedRequest;
-use crate::endings::StreamExposure;
 use crate::flight::FlightWatch;
 use crate::flight::RequestCharge;
 use crate::flight::RequestProgress;
@@ -44,8 +44,8 @@
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 use crate::suspects;
-use crate::suspects::SuspectDesk;
-use crate::suspects::SuspectStanding;
+use crate::suspects::SuspectStatus;
+use crate::suspects::SuspectTracker;
 
 /// Servers tried for one request while none has run it.
 const TRIES: usize = 4;
@@ -142,14 +142,14 @@
 }
 
 /// What is known against the request; fails when it must not be sent.
-pub(super) fn check_standing<D: RequestDialect>(
+pub(super) fn check_suspect_status<D: RequestDialect>(
     state: &TrafficState<D>,
     admitted: &AdmittedRequest,
-) -> Result<SuspectStanding> {
-    let standing = state.suspects.standing(&admitted.identity);
-    if let SuspectStanding::Condemned(_) = standing {
-        let print = admitted.identity.print();
-        suspects::log_standing(&admitted.signs.id, &print, &standing);
+) -> Result<SuspectStatus> {
+    let standing = state.suspects.status(&admitted.identity);
+    if let SuspectStatus::Quarantined(_) = standing {
+        let fingerprint = admitted.identity.fingerprint();
+        suspects::log_suspect_status(&admitted.signs.id, &fingerprint, &standing);
         return Err(OwnReason::EndsServers.into());
     }
     Ok(standing)
@@ -208,7 +208,7 @@
     trail: &mut ForwardTrail,
 ) -> NextStep {
     // Other instances may have learned more since the attempt before.
-    let standing = match check_standing(state, admitted) {
+    let standing = match check_suspect_status(state, admitted) {
         Ok(standing) => standing,
         Err(refusal) => {
             trail.refusal = refusal;
@@ -216,7 +216,7 @@
         }
     };
     let (shared, own_tokens) = shared_parts(&admitted.signs);
-    let case = PlacementCase {
+    let case = PlacementRequest {
         shared: &shared,
         own_tokens,
         now: state.now(),
@@ -257,13 +257,13 @@
         leaves_silent: may_run_again(admitted, trail.runs + 1),
     };
     let suspect = match &standing {
-        SuspectStanding::Clear => None,
-        _ => Some(admitted.identity.print()),
+        SuspectStatus::Clear => None,
+        _ => Some(admitted.identity.fingerprint()),
     };
-    if let Some(print) = &suspect
+    if let Some(fingerprint) = &suspect
         && trail.tried.len() == 1
     {
-        suspects::log_standing(&admitted.signs.id, print, &standing);
+        suspects::log_suspect_status(&admitted.signs.id, fingerprint, &standing);
     }
     let flight = ServerFlight::begin(&chosen, &shared, state.now());
     if let Some(charge) = charge {
@@ -274,7 +274,7 @@
         "request={} server={name}",
         admitted.signs.id
     );
-    let request = ExposedRequest::new(&admitted.signs.id, &admitted.identity, standing.rounds());
+    let request = CrashCandidate::new(&admitted.signs.id, &admitted.identity, standing.rounds());
     let has_other = || {
         let instances = state.directory.borrow().may_serve();
         let mut retries = state.retries.borrow_mut();
@@ -286,12 +286,12 @@
     };
     let report = send::send(&state.dialect, flight, &outgoing, has_other).await;
     if report.leaving {
-        state.note_leaving(&chosen.server.entry.start(), "answer");
+        state.note_draining(&chosen.server.entry.start(), "answer");
     }
     let attempt = SentAttempt {
         server: chosen.server,
         request,
-        endings: Rc::clone(&state.endings),
+        crash_detector: Rc::clone(&state.crash_detector),
         suspects: Rc::clone(&state.suspects),
         suspect,
     };
@@ -302,18 +302,18 @@
 #[derive(Clone)]
 pub(super) struct SentAttempt {
     server: Rc<ServerHandle>,
-    request: ExposedRequest,
-    endings: Rc<EndingWatch>,
-    suspects: Rc<SuspectDesk>,
+    request: CrashCandidate,
+    crash_detector: Rc<CrashDetector>,
+    suspects: Rc<SuspectTracker>,
     /// The request, if servers ended under it before.
-    suspect: Option<RequestPrint>,
+    suspect: Option<RequestFingerprint>,
 }
 
 impl SentAttempt {
     /// The server answered the whole of it.
-    fn note_answered(&self) {
-        if let Some(print) = &self.suspect {
-            self.suspects.note_answered(&self.request.id, print);
+    fn note_response(&self) {
+        if let Some(fingerprint) = &self.suspect {
+            self.suspects.note_response(&self.request.id, fingerprint);
         }
     }
 
@@ -328,7 +328,8 @@
         if !cause.is_broken() {
             return next;
         }
-        self.endings.note_broken(&self.server, Some(self.request));
+        self.crash_detector
+            .note_broken(&self.server, Some(self.request));
         // The next server would end too if the request ends servers.
         if self.suspect.is_some() {
             return NextStep::End;
@@ -368,7 +369,7 @@
             if fault == ConnectFault::Closed {
                 // One known to be closed is tried for want of others only.
                 trail.closed += usize::from(!server.is_closed());
-                attempt.endings.note_broken(&server, None);
+                attempt.crash_detector.note_broken(&server, None);
             }
             NextStep::Elsewhere
         }
@@ -445,7 +446,7 @@
             charge: stream.charge,
             tokens_per_event: engine.map_or(1, |engine| engine.tokens_per_event),
             progress,
-            exposure: StreamExposure::new(attempt.request, attempt.endings),
+            exposure: StreamCandidate::new(attempt.request, attempt.crash_detector),
             suspects: attempt.suspects,
             suspect: attempt.suspect,
         };
@@ -482,9 +483,9 @@
         flight.server().note_failed();
         return Err(FailureCause::AnswerBroken);
     };
-    flight.note_read();
+    flight.note_prefill_done();
     flight.server().note_healthy();
-    attempt.note_answered();
+    attempt.note_response();
     event!(
         EventCode::RequestEnded,
         "request={} server={} status={} total_ms={}",
--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -32,7 +32,7 @@
 use crate::dialect::RequestDialect;
 use crate::state::TrafficState;
 use crate::supply;
-use crate::suspects::EndingNews;
+use crate::suspects::CrashNotice;
 
 /// Calls that wait to be answered.
 pub const RING_CAPACITY: usize = 256;
@@ -70,7 +70,7 @@
     /// Takes over which instances are silent.
     Silence(SilenceMessage),
     /// Takes over which servers ended, and under which requests.
-    Endings(EndingNews),
+    Endings(CrashNotice),
     /// Tells which process answers for the instance.
     Process,
 }
@@ -192,7 +192,7 @@
             PeerAnswer::Silence(answer)
         }
         PeerQuestion::Endings(news) => {
-            state.take_endings(news);
+            state.apply_crash_notice(news);
             PeerAnswer::EndingsTaken
         }
     }
@@ -230,7 +230,7 @@
 }
 
 /// Tells one instance which servers ended; false when it does not answer.
-pub async fn tell_endings(link: &PinnedLink, peer: SocketAddr, news: &EndingNews) -> bool {
+pub async fn tell_endings(link: &PinnedLink, peer: SocketAddr, news: &CrashNotice) -> bool {
     let question = PeerQuestion::Endings(news.clone());
     let answer = ask(link, peer, &question, TIME_LIMIT).await;
     answer == Some(PeerAnswer::EndingsTaken)
--- a/crates/hibiscus-traffic/src/send.rs
+++ b/crates/hibiscus-traffic/src/send.rs
@@ -172,7 +172,7 @@
             Err(outcome) => return outcome.into(),
         }
     };
-    server.note_heard();
+    server.note_received();
     let signs = dialect.answer_signs(answer.headers());
     // Another server than the one meant says nothing of that one.
     let meant = answer.status() != StatusCode::MISDIRECTED_REQUEST;
@@ -238,15 +238,15 @@
     if refuses(status) {
         flight.note_refused(signs.pause);
     } else {
-        flight.note_taken();
+        flight.note_accepted();
     }
     let other = signs.id.as_ref().is_some_and(|answered| answered != id);
     if other {
-        server.note_nothing();
+        server.note_inconclusive();
         return SendOutcome::Unknown(FailureCause::OtherRequest);
     }
     if signs.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        server.note_nothing();
+        server.note_inconclusive();
         return SendOutcome::NotRun(status);
     }
     if status.is_success() && (!signs.signed || (signs.id.is_none() && !id.is_empty())) {
--- a/crates/hibiscus-traffic/src/server_news.rs
+++ b/crates/hibiscus-traffic/src/server_changes.rs
@@ -17,9 +17,9 @@
 use crate::model::ServerEntry;
 
 /// Topic of the news.
-pub const NEWS_TOPIC: &str = "server-changes";
+pub const SERVER_CHANGES_TOPIC: &str = "server-changes";
 /// Time after which a relay publishes also when nothing changed.
-pub const NEWS_INTERVAL: Duration = Duration::from_secs(1);
+pub const CHANGE_SET_INTERVAL: Duration = Duration::from_secs(1);
 /// Time by which each further relay waits longer for those before it.
 const RELAY_STAGGER: Duration = Duration::from_millis(400);
 /// Time without news after which a follower reads the servers' topic itself: a
@@ -50,7 +50,7 @@
 
 /// The changes in a part of the servers' topic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServerNews {
+pub struct ServerChangeSet {
     /// Offset of the first record of the servers' topic that is covered.
     pub from: u64,
     /// Offset after the last one.
@@ -61,19 +61,19 @@
 
 /// News that are missing before others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewsGap {
+pub struct ChangeGap {
     /// Offset from which on the servers' topic has to be read.
     pub position: u64,
 }
 
 /// The servers by the records of their topic up to an offset.
 #[derive(Clone, Debug, Default)]
-pub struct ServerBook {
+pub struct EntryTable {
     position: u64,
     servers: BTreeMap<ServerName, ServerEntry>,
 }
 
-impl ServerBook {
+impl EntryTable {
     /// A book of the `entries` that the records before `position` leave.
     pub fn new(entries: &[ServerEntry], position: u64) -> Self {
         let servers = entries
@@ -116,9 +116,12 @@
     /// # Errors
     ///
     /// Fails when news before these are missing.
-    pub fn take_news(&mut self, news: ServerNews) -> Result<Vec<ServerChange>, NewsGap> {
+    pub fn apply_change_set(
+        &mut self,
+        news: ServerChangeSet,
+    ) -> Result<Vec<ServerChange>, ChangeGap> {
         if news.from > self.position {
-            return Err(NewsGap {
+            return Err(ChangeGap {
                 position: self.position,
             });
         }
@@ -133,7 +136,7 @@
 
 /// What a relay has found and not seen published.
 #[derive(Clone, Debug)]
-pub struct NewsDraft {
+pub struct PendingChanges {
     from: u64,
     changes: Vec<(u64, ServerChange)>,
     /// When the oldest of them was found.
@@ -142,7 +145,7 @@
     published: Duration,
 }
 
-impl NewsDraft {
+impl PendingChanges {
     /// A draft of a relay that begins at `now` with the records before `from`.
     pub fn new(from: u64, now: Duration) -> Self {
         Self {
@@ -175,11 +178,11 @@
         let stagger = RELAY_STAGGER * place;
         let waits = |since: Duration, most: Duration| now.saturating_sub(since) >= most + stagger;
         self.since.is_some_and(|since| waits(since, Duration::ZERO))
-            || waits(self.published, NEWS_INTERVAL)
+            || waits(self.published, CHANGE_SET_INTERVAL)
     }
 
     /// The records to publish when those before `position` were read.
-    pub fn news(&self, position: u64) -> Vec<ServerNews> {
+    pub fn news(&self, position: u64) -> Vec<ServerChangeSet> {
         let mut news = Vec::new();
         let mut from = self.from;
         let mut parts = self.changes.chunks(CHANGES_LIMIT).peekable();
@@ -190,7 +193,7 @@
             } else {
                 position
             };
-            news.push(ServerNews {
+            news.push(ServerChangeSet {
                 from,
                 upto,
                 changes: part.to_vec(),
@@ -198,7 +201,7 @@
             from = upto;
         }
         if news.is_empty() {
-            news.push(ServerNews {
+            news.push(ServerChangeSet {
                 from,
                 upto: position.max(from),
                 changes: Vec::new(),
--- a/crates/hibiscus-traffic/src/roster.rs
+++ b/crates/hibiscus-traffic/src/server_registry.rs
@@ -14,7 +14,7 @@
 
 /// Time after the store's return by which entries that lapsed are back, as
 /// the platform states it.
-pub const RETURN_TIME: Duration = Duration::from_secs(2);
+pub const ENTRY_RETURN_TIME: Duration = Duration::from_secs(2);
 
 /// One server of the roster.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
 
 /// What changed in the roster.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RosterChange {
+pub enum RegistryChange {
     /// A server is there, or described itself anew.
     Present(ServerEntry),
     /// A server is gone.
@@ -35,13 +35,13 @@
 
 /// The servers by name.
 #[derive(Clone, Debug, Default)]
-pub struct ServerRoster {
+pub struct ServerRegistry {
     servers: BTreeMap<ServerName, RosterEntry>,
     away: bool,
     returned: Option<Duration>,
 }
 
-impl ServerRoster {
+impl ServerRegistry {
     /// The store can't be read.
     pub fn note_store_lost(&mut self) {
         self.away = true;
@@ -56,7 +56,7 @@
     }
 
     /// Takes an entry over; `None` when nothing but its age changed.
-    pub fn put(&mut self, entry: ServerEntry) -> Option<RosterChange> {
+    pub fn put(&mut self, entry: ServerEntry) -> Option<RegistryChange> {
         let held = self.servers.get_mut(&entry.name);
         if let Some(held) = held {
             held.lapses = None;
@@ -64,21 +64,23 @@
                 return None;
             }
             held.entry = entry.clone();
-            return Some(RosterChange::Present(entry));
+            return Some(RegistryChange::Present(entry));
         }
         let held = RosterEntry {
             entry: entry.clone(),
             lapses: None,
         };
         self.servers.insert(entry.name.clone(), held);
-        Some(RosterChange::Present(entry))
+        Some(RegistryChange::Present(entry))
     }
 
     /// Takes the removal of an entry over.
-    pub fn remove(&mut self, name: &ServerName, now: Duration) -> Option<RosterChange> {
+    pub fn remove(&mut self, name: &ServerName, now: Duration) -> Option<RegistryChange> {
         let until = match self.returned {
-            _ if self.away => Some(now + RETURN_TIME),
-            Some(returned) if now < returned + RETURN_TIME => Some(returned + RETURN_TIME),
+            _ if self.away => Some(now + ENTRY_RETURN_TIME),
+            Some(returned) if now < returned + ENTRY_RETURN_TIME => {
+                Some(returned + ENTRY_RETURN_TIME)
+            }
             _ => None,
         };
         let held = self.servers.get_mut(name)?;
@@ -90,11 +92,11 @@
             return None;
         }
         self.servers.remove(name);
-        Some(RosterChange::Gone(name.clone()))
+        Some(RegistryChange::Gone(name.clone()))
     }
 
     /// Takes over the newest entries of all servers, read at `now`.
-    pub fn replace(&mut self, entries: Vec<ServerEntry>, now: Duration) -> Vec<RosterChange> {
+    pub fn replace(&mut self, entries: Vec<ServerEntry>, now: Duration) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
         let mut missing = Vec::new();
         for name in self.servers.keys() {
@@ -112,7 +114,7 @@
     }
 
     /// Drops the servers that did not come back by `now`.
-    pub fn expire(&mut self, now: Duration) -> Vec<RosterChange> {
+    pub fn expire(&mut self, now: Duration) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
         if self.away {
             return changes;
@@ -120,7 +122,7 @@
         self.servers.retain(|name, held| {
             let gone = held.lapses.is_some_and(|until| now >= until);
             if gone {
-                changes.push(RosterChange::Gone(name.clone()));
+                changes.push(RegistryChange::Gone(name.clone()));
             }
             !gone
         });
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -9,20 +9,22 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_routing::availability::ServerOpening;
+use hibiscus_routing::availability::ServerEligibility;
 use hibiscus_routing::health::ServerHealth;
 use hibiscus_routing::load::LoadTracker;
 use hibiscus_routing::placement;
 use hibiscus_routing::placement::PartTokens;
-use hibiscus_routing::placement::PlacementCase;
-use hibiscus_routing::placement::PlacementView;
-use hibiscus_routing::placement::PrefillBook;
+use hibiscus_routing::placement::PlacementCandidate;
+use hibiscus_routing::placement::PlacementRequest;
+use hibiscus_routing::placement::PrefillTracker;
 use hibiscus_types::DataCentre;
 use hibiscus_types::InstanceName;
 use hibiscus_types::ServerName;
 use hibiscus_types::ServiceName;
 use metrics::counter;
 
+use crate::availability_table::AvailabilityTable;
+use crate::availability_table::SharedAvailability;
 use crate::connect::ServerLink;
 use crate::idle::IdleLinks;
 use crate::idle::IdleTicket;
@@ -30,9 +32,7 @@
 use crate::model::ServerLoadReport;
 use crate::model::ServerPhase;
 use crate::model::ServerStart;
-use crate::roster::RosterChange;
-use crate::standings::ServerStandings;
-use crate::standings::SharedAvailability;
+use crate::server_registry::RegistryChange;
 
 /// Servers that were avoided since they said so, by service and cause.
 pub const SERVERS_AVOIDED: &str = "hibiscus_servers_avoided_total";
@@ -72,8 +72,8 @@
     health: RefCell<ServerHealth>,
     availability: SharedAvailability,
     /// Its place in this instance's own order of the servers.
-    order: f64,
-    book: RefCell<PrefillBook>,
+    jitter: f64,
+    prefill: RefCell<PrefillTracker>,
     /// Its connections that are kept, the one used last at the end.
     idle: RefCell<Vec<IdleTicket>>,
     idle_limit: Cell<usize>,
@@ -88,7 +88,7 @@
         idle_links: &Rc<IdleLinks<ServerLink>>,
     ) -> Self {
         Self {
-            order: placement::order_of(own.as_str(), entry.name.as_str()),
+            jitter: placement::jitter_of(own.as_str(), entry.name.as_str()),
             entry,
             gone: Cell::new(false),
             ended: Cell::new(None),
@@ -98,7 +98,7 @@
             heard: Cell::new(Instant::now()),
             health: RefCell::default(),
             availability,
-            book: RefCell::default(),
+            prefill: RefCell::default(),
             idle: RefCell::default(),
             idle_limit: Cell::new(IDLE_LINKS),
             idle_links: Rc::clone(idle_links),
@@ -108,14 +108,14 @@
     /// Whether it does not leave.
     pub fn is_serving(&self) -> bool {
         let serving = !self.gone.get() && self.entry.phase == ServerPhase::Serving;
-        serving && !self.availability.borrow().is_leaving()
+        serving && !self.availability.borrow().is_draining()
     }
 
     /// Whether the request that `trial` was noted for, and that has not left
     /// yet, may still be sent.
-    pub fn still_takes(&self, trial: bool) -> bool {
+    pub fn still_accepts(&self, trial: bool) -> bool {
         let availability = self.availability.borrow();
-        availability.still_takes(trial, Instant::now())
+        availability.still_accepts(trial, Instant::now())
     }
 
     /// It refused a request, and wants none for `pause`.
@@ -136,10 +136,10 @@
     }
 
     /// It took the request that `trial` was noted for.
-    pub fn note_taken(&self, trial: bool) {
+    pub fn note_accepted(&self, trial: bool) {
         let mut availability = self.availability.borrow_mut();
         let paused = availability.is_paused();
-        availability.note_taken(trial);
+        availability.note_accepted(trial);
         if paused && !availability.is_paused() {
             event!(
                 EventCode::ServerBack,
@@ -168,7 +168,7 @@
     }
 
     /// Notes that bytes came from it.
-    pub fn note_heard(&self) {
+    pub fn note_received(&self) {
         self.heard.set(Instant::now());
     }
 
@@ -189,7 +189,7 @@
 
     /// Whether it wants requests, as far as it said.
     fn is_open(&self, now: Instant) -> bool {
-        self.availability.borrow().opening(now) == ServerOpening::Open
+        self.availability.borrow().eligibility(now) == ServerEligibility::Open
     }
 
     /// An idle connection, the one used last first.
@@ -233,20 +233,22 @@
 
     /// Counts a request sent there; whether it tries the server after a
     /// refusal.
-    pub fn note_sent(&self, parts: &[PartTokens], unread: u64, now: Duration) -> bool {
+    pub fn note_sent(&self, parts: &[PartTokens], prefill_tokens: u64, now: Duration) -> bool {
         if self.in_progress.get() == 0 {
-            self.note_heard();
+            self.note_received();
         }
         self.in_progress.set(self.in_progress.get() + 1);
         self.load.borrow_mut().note_sent(Instant::now());
         self.health.borrow_mut().note_sent();
-        self.book.borrow_mut().note_sent(parts, unread, now);
+        self.prefill
+            .borrow_mut()
+            .note_sent(parts, prefill_tokens, now);
         self.availability.borrow_mut().note_sent(Instant::now())
     }
 
     /// Its first answer bytes came, so its prompt has been read.
-    pub fn note_read(&self, unread: u64) {
-        self.book.borrow_mut().note_read(unread);
+    pub fn note_prefill_done(&self, prefill_tokens: u64) {
+        self.prefill.borrow_mut().note_prefill_done(prefill_tokens);
     }
 
     /// Counts the end of a request.
@@ -258,7 +260,7 @@
 
     /// The server answered properly.
     pub fn note_healthy(&self) {
-        self.health.borrow_mut().note_answered();
+        self.health.borrow_mut().note_success();
     }
 
     /// The server failed a request.
@@ -267,14 +269,14 @@
     }
 
     /// A request showed nothing of the server's health.
-    pub fn note_nothing(&self) {
-        self.health.borrow_mut().note_nothing();
+    pub fn note_inconclusive(&self) {
+        self.health.borrow_mut().note_inconclusive();
     }
 
     /// Takes a load report over.
     pub fn note_load(&self, report: &ServerLoadReport) {
         let load = report.running.saturating_add(report.waiting);
-        self.load.borrow_mut().take_report(load, Instant::now());
+        self.load.borrow_mut().note_report(load, Instant::now());
         self.waiting.set(report.waiting);
     }
 }
@@ -285,7 +287,7 @@
     /// The server.
     pub server: Rc<ServerHandle>,
     /// Prompt tokens that it has to read.
-    pub unread: u64,
+    pub prefill_tokens: u64,
 }
 
 /// Why no server of a service can be used.
@@ -303,7 +305,7 @@
 pub struct ServerPool {
     own: InstanceName,
     idle_links: Rc<IdleLinks<ServerLink>>,
-    standings: ServerStandings,
+    availability_table: AvailabilityTable,
     by_name: HashMap<ServerName, Rc<ServerHandle>>,
     by_service: HashMap<ServiceName, Vec<Rc<ServerHandle>>>,
 }
@@ -328,7 +330,7 @@
         Self {
             own,
             idle_links: Rc::new(IdleLinks::new(idle)),
-            standings: ServerStandings::default(),
+            availability_table: AvailabilityTable::default(),
             by_name: HashMap::new(),
             by_service: HashMap::new(),
         }
@@ -340,10 +342,10 @@
     }
 
     /// Takes a change of the roster over.
-    pub fn apply(&mut self, change: RosterChange) {
+    pub fn apply(&mut self, change: RegistryChange) {
         match change {
-            RosterChange::Present(entry) => self.put(entry),
-            RosterChange::Gone(name) => self.remove(&name),
+            RegistryChange::Present(entry) => self.put(entry),
+            RegistryChange::Gone(name) => self.remove(&name),
         }
     }
 
@@ -380,8 +382,8 @@
     }
 
     /// Notes that the process `start` leaves; whether that is new.
-    pub fn note_leaving(&mut self, start: &ServerStart) -> bool {
-        let new = self.standings.note_leaving(start);
+    pub fn note_draining(&mut self, start: &ServerStart) -> bool {
+        let new = self.availability_table.note_draining(start);
         if new && let Some(server) = self.find(&start.server, start.started) {
             server.drop_idle(0);
             counter!(SERVERS_AVOIDED, "service" => server.entry.service.to_string(), "cause" => "leaving")
@@ -403,7 +405,7 @@
         tried: &[ServerName],
         data_centre: &DataCentre,
         others: u32,
-        case: &PlacementCase<'_>,
+        case: &PlacementRequest<'_>,
     ) -> Result<ChosenServer, NoServer> {
         let now = Instant::now();
         let servers = self.by_service.get(service).ok_or(NoServer::Missing)?;
@@ -414,11 +416,11 @@
             if !server.is_serving() || tried.contains(&server.entry.name) {
                 continue;
             }
-            match server.availability.borrow().opening(now) {
-                ServerOpening::Open => usable.push(server),
-                ServerOpening::Avoided => avoided.push(server),
-                ServerOpening::Paused(until) => none = none.or_back(until, now),
-                ServerOpening::Leaving => {}
+            match server.availability.borrow().eligibility(now) {
+                ServerEligibility::Open => usable.push(server),
+                ServerEligibility::LastResort => avoided.push(server),
+                ServerEligibility::Paused(until) => none = none.or_back(until, now),
+                ServerEligibility::Draining => {}
             }
         }
         let healthy = |server: &&Rc<ServerHandle>| server.is_well(now);
@@ -427,24 +429,27 @@
         } else {
             usable.append(&mut avoided);
         }
-        let books: Vec<_> = usable.iter().map(|server| server.book.borrow()).collect();
+        let books: Vec<_> = usable
+            .iter()
+            .map(|server| server.prefill.borrow())
+            .collect();
         let mut views = Vec::with_capacity(usable.len());
-        for (server, book) in usable.iter().zip(&books) {
-            views.push(PlacementView {
+        for (server, prefill) in usable.iter().zip(&books) {
+            views.push(PlacementCandidate {
                 name: server.entry.name.as_str(),
-                book,
+                prefill,
                 expected: server.load.borrow().expected(now, others),
                 waiting: server.waiting.get(),
                 slots: server.entry.slots,
                 remote: server.entry.data_centre != *data_centre,
                 connected: server.has_open_link(),
-                order: server.order,
+                jitter: server.jitter,
             });
         }
-        let (index, unread) = placement::choose(&views, case).ok_or(none)?;
+        let (index, prefill_tokens) = placement::choose(&views, case).ok_or(none)?;
         Ok(ChosenServer {
             server: Rc::clone(usable[index]),
-            unread,
+            prefill_tokens,
         })
     }
 
@@ -469,11 +474,11 @@
             return;
         }
         let start = entry.start();
-        let availability = self.standings.of(&start);
+        let availability = self.availability_table.of(&start);
         if let Some(before) = self.take_out(&entry.name)
             && before.entry.start() != start
         {
-            self.standings.note_absent(&before.entry.start());
+            self.availability_table.note_absent(&before.entry.start());
         }
         let server = Rc::new(ServerHandle::new(
             entry,
@@ -492,7 +497,7 @@
 
     fn remove(&mut self, name: &ServerName) {
         if let Some(server) = self.take_out(name) {
-            self.standings.note_absent(&server.entry.start());
+            self.availability_table.note_absent(&server.entry.start());
         }
     }
 
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -21,9 +21,9 @@
 use crate::budgets::BudgetDesk;
 use crate::budgets::BudgetHandle;
 use crate::callers::CallerRegistry;
+use crate::crash_detector::CrashDetector;
 use crate::dialect::RequestDialect;
 use crate::directory::InstanceDirectory;
-use crate::endings::EndingWatch;
 use crate::holders::HolderRefusals;
 use crate::holders::HolderTable;
 use crate::machine::MachineLimits;
@@ -38,14 +38,14 @@
 use crate::relief::MemoryPressure;
 use crate::relief::PressureGauge;
 use crate::retries::RetryCounter;
-use crate::roster::RosterChange;
-use crate::roster::ServerRoster;
+use crate::server_registry::RegistryChange;
+use crate::server_registry::ServerRegistry;
 use crate::servers;
 use crate::servers::ServerPool;
 use crate::shares::MemoryShares;
 use crate::state::holding::HeldRanks;
 use crate::state::start::StartWatch;
-use crate::suspects::SuspectDesk;
+use crate::suspects::SuspectTracker;
 use crate::table::RouteTable;
 use crate::tally::WorkTally;
 use crate::updates::ConfigArrival;
@@ -68,7 +68,7 @@
     /// The instances.
     pub directory: InstanceDirectory,
     /// The requests under which servers ended.
-    pub suspects: SuspectDesk,
+    pub suspects: SuspectTracker,
     /// What each duty may take of the machine.
     pub bounds: MemoryShares,
     /// What the machine gives the process.
@@ -112,12 +112,12 @@
     /// Counters and histograms.
     pub measures: Rc<TrafficMeasures>,
     /// Finds out which servers ended.
-    pub endings: Rc<EndingWatch>,
+    pub crash_detector: Rc<CrashDetector>,
     /// The requests under which servers ended.
-    pub suspects: Rc<SuspectDesk>,
+    pub suspects: Rc<SuspectTracker>,
     /// The servers.
     pub servers: RefCell<ServerPool>,
-    roster: RefCell<ServerRoster>,
+    server_registry: RefCell<ServerRegistry>,
     table: RefCell<Option<Rc<RouteTable>>>,
     start: StartWatch,
     /// When the table came into force.
@@ -162,10 +162,10 @@
             members: Notify::new(),
             measures: Rc::default(),
             pins: PinSet::default(),
-            endings: Rc::default(),
+            crash_detector: Rc::default(),
             suspects: Rc::new(parts.suspects),
             servers: RefCell::new(ServerPool::new(own, parts.bounds.idle_links)),
-            roster: RefCell::default(),
+            server_registry: RefCell::default(),
             table: RefCell::default(),
             start: StartWatch::default(),
             table_since: Cell::default(),
@@ -279,20 +279,26 @@
                 }
             }
             TrafficUpdate::AllServers(entries) => {
-                let changes = self.roster.borrow_mut().replace(entries, self.now());
+                let changes = self
+                    .server_registry
+                    .borrow_mut()
+                    .replace(entries, self.now());
                 self.apply_roster(changes);
                 self.start.note_servers();
             }
             TrafficUpdate::Server(entry) => {
-                let change = self.roster.borrow_mut().put(entry);
+                let change = self.server_registry.borrow_mut().put(entry);
                 self.apply_roster(change);
             }
             TrafficUpdate::ServerGone(name) => {
-                let change = self.roster.borrow_mut().remove(&name, self.now());
+                let change = self.server_registry.borrow_mut().remove(&name, self.now());
                 self.apply_roster(change);
             }
-            TrafficUpdate::ServersLost => self.roster.borrow_mut().note_store_lost(),
-            TrafficUpdate::ServersRead => self.roster.borrow_mut().note_store_read(self.now()),
+            TrafficUpdate::ServersLost => self.server_registry.borrow_mut().note_store_lost(),
+            TrafficUpdate::ServersRead => self
+                .server_registry
+                .borrow_mut()
+                .note_store_read(self.now()),
             TrafficUpdate::Accounts { first, records } => {
                 for (offset, record) in (first..).zip(&records) {
                     self.budgets.apply(offset, record);
@@ -312,7 +318,7 @@
                 self.review_waiting();
             }
             TrafficUpdate::Suspects(update) => {
-                let keeps = self.keeps_suspects();
+                let keeps = self.maintains_suspects();
                 self.suspects.take_stored(update, keeps, self.now());
             }
             TrafficUpdate::Instance(entry) => {
@@ -475,14 +481,14 @@
 
     /// Drops servers that did not come back.
     pub fn expire_servers(&self) {
-        let changes = self.roster.borrow_mut().expire(self.now());
+        let changes = self.server_registry.borrow_mut().expire(self.now());
         self.apply_roster(changes);
     }
 
-    fn apply_roster(&self, changes: impl IntoIterator<Item = RosterChange>) {
+    fn apply_roster(&self, changes: impl IntoIterator<Item = RegistryChange>) {
         for change in changes {
             match &change {
-                RosterChange::Present(entry) => event!(
+                RegistryChange::Present(entry) => event!(
                     EventCode::ServerKnown,
                     "server={} service={} address={} phase={:?}",
                     entry.name,
@@ -490,7 +496,7 @@
                     entry.address,
                     entry.phase
                 ),
-                RosterChange::Gone(name) => event!(EventCode::ServerGone, "server={name}"),
+                RegistryChange::Gone(name) => event!(EventCode::ServerGone, "server={name}"),
             }
             self.servers.borrow_mut().apply(change);
         }
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -2,8 +2,8 @@
 //!
 //! Servers that say that they leave are told in the same way.
 //!
-//! [`SuspectDesk`] holds the book ([`hibiscus_request::suspects`]). News go two
-//! ways: over the link from neighbour to neighbour ([`keep`]), which takes
+//! [`SuspectTracker`] holds the book ([`hibiscus_request::suspects`]). News go two
+//! ways: over the link from neighbour to neighbour ([`run`]), which takes
 //! milliseconds and needs no store, and those of requests into a topic of the
 //! fleet, which outlives all processes. Whoever learns something new passes it
 //! on, so a server's end costs each instance a message to each of its few
@@ -18,12 +18,12 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_request::print::RequestPrint;
-use hibiscus_request::suspects::EndEvidence;
+use hibiscus_request::fingerprint::RequestFingerprint;
+use hibiscus_request::suspects::CrashReport;
+use hibiscus_request::suspects::CrashSummary;
+use hibiscus_request::suspects::CrashTable;
 use hibiscus_request::suspects::ServerProcess;
-use hibiscus_request::suspects::SuspectBook;
-use hibiscus_request::suspects::SuspectCase;
-use hibiscus_request::suspects::SuspectNews;
+use hibiscus_request::suspects::SuspectRecord;
 use hibiscus_types::InstanceName;
 use hibiscus_types::UnixMillis;
 use metrics::counter;
@@ -32,9 +32,9 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
+use crate::crash_detector::CrashCandidate;
+use crate::crash_detector::RequestIdentity;
 use crate::dialect::RequestDialect;
-use crate::endings::ExposedRequest;
-use crate::endings::RequestIdentity;
 use crate::model::ServerStart;
 use crate::peers;
 use crate::servers::ServerHandle;
@@ -62,39 +62,39 @@
 
 /// What a request that is to be sent is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SuspectStanding {
+pub enum SuspectStatus {
     /// Nothing is known against it.
     Clear,
     /// Servers ended under it: it may be sent to one server.
-    Suspect(SuspectCase),
+    Suspect(CrashSummary),
     /// It must not be sent.
-    Condemned(SuspectCase),
+    Quarantined(CrashSummary),
 }
 
-impl SuspectStanding {
+impl SuspectStatus {
     /// Rounds of ends that are known.
     pub fn rounds(&self) -> u8 {
         match self {
             Self::Clear => 0,
-            Self::Suspect(case) | Self::Condemned(case) => case.rounds,
+            Self::Suspect(case) | Self::Quarantined(case) => case.rounds,
         }
     }
 }
 
 /// What instances tell each other of servers that ended or leave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndingNews {
+pub struct CrashNotice {
     /// Servers whose ports were found closed.
     pub servers: Vec<ServerStart>,
     /// The requests under which servers ended.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectRecord>,
     /// Servers that said that they leave.
-    pub leaving: Vec<ServerStart>,
+    pub draining: Vec<ServerStart>,
 }
 
-impl EndingNews {
+impl CrashNotice {
     fn is_empty(&self) -> bool {
-        self.servers.is_empty() && self.suspects.is_empty() && self.leaving.is_empty()
+        self.servers.is_empty() && self.suspects.is_empty() && self.draining.is_empty()
     }
 }
 
@@ -102,24 +102,24 @@
 #[derive(Debug)]
 pub enum SuspectUpdate {
     /// All of it, read anew.
-    Whole(Vec<EndEvidence>),
+    Whole(Vec<CrashReport>),
     /// A record that was appended.
-    Appended(SuspectNews),
+    Appended(SuspectRecord),
 }
 
 /// Holds the requests under which servers ended.
 #[derive(Debug)]
-pub struct SuspectDesk {
+pub struct SuspectTracker {
     own: InstanceName,
-    book: RefCell<SuspectBook>,
-    waiting: RefCell<EndingNews>,
+    book: RefCell<CrashTable>,
+    waiting: RefCell<CrashNotice>,
     has_news: Notify,
-    outbox: SyncSender<Vec<SuspectNews>>,
+    outbox: SyncSender<Vec<SuspectRecord>>,
 }
 
-impl SuspectDesk {
+impl SuspectTracker {
     /// The empty desk of the instance `own`, whose records go to `outbox`.
-    pub fn new(own: InstanceName, outbox: SyncSender<Vec<SuspectNews>>) -> Self {
+    pub fn new(own: InstanceName, outbox: SyncSender<Vec<SuspectRecord>>) -> Self {
         Self {
             own,
             book: RefCell::default(),
@@ -131,43 +131,43 @@
 
     /// What is known against a request. Its body is read only when others of
     /// its team, path and length are known.
-    pub fn standing(&self, identity: &RequestIdentity) -> SuspectStanding {
+    pub fn status(&self, identity: &RequestIdentity) -> SuspectStatus {
         let book = self.book.borrow();
-        if book.is_empty() || !book.may_hold(identity.sketch()) {
-            return SuspectStanding::Clear;
+        if book.is_empty() || !book.may_hold(identity.coarse()) {
+            return SuspectStatus::Clear;
         }
-        match book.case(&identity.print(), UnixMillis::now()) {
-            None => SuspectStanding::Clear,
-            Some(case) if case.released.is_some() => SuspectStanding::Condemned(case),
-            Some(case) => SuspectStanding::Suspect(case),
+        match book.case(&identity.fingerprint(), UnixMillis::now()) {
+            None => SuspectStatus::Clear,
+            Some(case) if case.released.is_some() => SuspectStatus::Quarantined(case),
+            Some(case) => SuspectStatus::Suspect(case),
         }
     }
 
     /// `server` ended at `now` under `requests`.
-    pub fn note_end(&self, server: &ServerHandle, requests: &[ExposedRequest], now: Duration) {
+    pub fn note_crash(&self, server: &ServerHandle, requests: &[CrashCandidate], now: Duration) {
         let entry = &server.entry;
         let process = ServerProcess::of(&entry.name, entry.started);
         let mut news = Vec::with_capacity(requests.len());
-        if self.book.borrow_mut().note_end(process, now) {
+        if self.book.borrow_mut().note_crash(process, now) {
             self.waiting.borrow_mut().servers.push(entry.start());
             self.has_news.notify_one();
         }
         for request in requests {
-            let print = request.print();
+            let fingerprint = request.fingerprint();
             let mut book = self.book.borrow_mut();
-            let evidence = EndEvidence {
-                print,
+            let evidence = CrashReport {
+                fingerprint,
                 server: entry.name.clone(),
                 started: entry.started,
                 known: request.known,
-                alone: book.is_alone(&print, process, now),
+                alone: book.is_alone(&fingerprint, process, now),
                 reporter: self.own.clone(),
                 seen: UnixMillis::now(),
             };
-            let before = book.case(&print, evidence.seen);
+            let before = book.case(&fingerprint, evidence.seen);
             event!(
                 EventCode::RequestAtEnd,
-                "request={} server={} print={print} bytes={} sent_ms={} known_rounds={} servers_before={} alone={}",
+                "request={} server={} print={fingerprint} bytes={} sent_ms={} known_rounds={} servers_before={} alone={}",
                 request.id,
                 entry.name,
                 request.bytes(),
@@ -177,7 +177,7 @@
                 evidence.alone
             );
             if book.take(evidence.clone(), now) {
-                news.push(SuspectNews::Ended(evidence));
+                news.push(SuspectRecord::Crashed(evidence));
             }
         }
         self.store(news.clone());
@@ -185,35 +185,35 @@
     }
 
     /// The process `start` of a server leaves, which was not known here.
-    pub fn note_leaving(&self, start: ServerStart) {
-        self.waiting.borrow_mut().leaving.push(start);
+    pub fn note_draining(&self, start: ServerStart) {
+        self.waiting.borrow_mut().draining.push(start);
         self.has_news.notify_one();
     }
 
     /// The request was answered, so it ends no servers.
-    pub fn note_answered(&self, id: &str, print: &RequestPrint) {
-        let keys = self.book.borrow_mut().clear(print);
+    pub fn note_response(&self, id: &str, fingerprint: &RequestFingerprint) {
+        let keys = self.book.borrow_mut().clear(fingerprint);
         if keys.is_empty() {
             return;
         }
         counter!(SUSPECT_REQUESTS, "verdict" => "cleared").increment(1);
         event!(
             EventCode::SuspectCleared,
-            "request={id} print={print} servers={}",
+            "request={id} print={fingerprint} servers={}",
             keys.len()
         );
-        let news: Vec<_> = keys.into_iter().map(SuspectNews::Dropped).collect();
+        let news: Vec<_> = keys.into_iter().map(SuspectRecord::Removed).collect();
         self.store(news.clone());
         self.pass_on(news);
     }
 
     /// Takes over at `now` what another instance tells; the servers of which
     /// nothing was known.
-    pub fn take_news(&self, news: &EndingNews, now: Duration) -> Vec<ServerStart> {
+    pub fn take_news(&self, news: &CrashNotice, now: Duration) -> Vec<ServerStart> {
         let mut servers = Vec::new();
         for closed in &news.servers {
             let process = ServerProcess::of(&closed.server, closed.started);
-            if self.book.borrow_mut().note_end(process, now) {
+            if self.book.borrow_mut().note_crash(process, now) {
                 servers.push(closed.clone());
             }
         }
@@ -233,9 +233,9 @@
     pub fn take_stored(&self, update: SuspectUpdate, keeps: bool, now: Duration) {
         match update {
             SuspectUpdate::Whole(records) => {
-                let listed: BTreeSet<_> = records.iter().map(EndEvidence::key).collect();
+                let listed: BTreeSet<_> = records.iter().map(CrashReport::key).collect();
                 for evidence in records {
-                    self.take_record(SuspectNews::Ended(evidence), keeps, now);
+                    self.take_record(SuspectRecord::Crashed(evidence), keeps, now);
                 }
                 self.book.borrow_mut().keep_stored(&listed);
             }
@@ -243,10 +243,10 @@
         }
     }
 
-    fn take_record(&self, record: SuspectNews, keeps: bool, now: Duration) {
+    fn take_record(&self, record: SuspectRecord, keeps: bool, now: Duration) {
         let key = record.key();
         let _new = self.take(&record, "topic", now);
-        if let SuspectNews::Dropped(_) = record {
+        if let SuspectRecord::Removed(_) = record {
             return;
         }
         let mut book = self.book.borrow_mut();
@@ -255,16 +255,16 @@
         let is_late = book.was_dropped(&key);
         drop(book);
         if is_late && keeps {
-            self.store(vec![SuspectNews::Dropped(key)]);
+            self.store(vec![SuspectRecord::Removed(key)]);
         }
     }
 
     /// Takes one piece of news over; whether it was new.
-    fn take(&self, news: &SuspectNews, source: &str, now: Duration) -> bool {
+    fn take(&self, news: &SuspectRecord, source: &str, now: Duration) -> bool {
         let mut book = self.book.borrow_mut();
         let evidence = match news {
-            SuspectNews::Dropped(key) => return book.drop_end(key),
-            SuspectNews::Ended(evidence) => evidence,
+            SuspectRecord::Removed(key) => return book.drop_end(key),
+            SuspectRecord::Crashed(evidence) => evidence,
         };
         if !book.take(evidence.clone(), now) {
             return false;
@@ -272,7 +272,7 @@
         event!(
             EventCode::SuspectLearned,
             "print={} server={} known_rounds={} reporter={} source={source} age_ms={}",
-            evidence.print,
+            evidence.fingerprint,
             evidence.server,
             evidence.known,
             evidence.reporter,
@@ -292,16 +292,16 @@
         if !keeps {
             return;
         }
-        let mut news: Vec<_> = expired.into_iter().map(SuspectNews::Dropped).collect();
+        let mut news: Vec<_> = expired.into_iter().map(SuspectRecord::Removed).collect();
         let before = now.saturating_sub(STORE_TIME);
         let missing = self.book.borrow().not_stored(before);
-        news.extend(missing.into_iter().map(SuspectNews::Ended));
+        news.extend(missing.into_iter().map(SuspectRecord::Crashed));
         self.store(news);
     }
 
     /// Appends `news` to the topic. A full ring loses them: the tick repeats
     /// ends that the topic does not hold, and the next answer drops others.
-    fn store(&self, news: Vec<SuspectNews>) {
+    fn store(&self, news: Vec<SuspectRecord>) {
         if news.is_empty() {
             return;
         }
@@ -314,7 +314,7 @@
         }
     }
 
-    fn pass_on(&self, news: Vec<SuspectNews>) {
+    fn pass_on(&self, news: Vec<SuspectRecord>) {
         if news.is_empty() {
             return;
         }
@@ -323,12 +323,12 @@
     }
 
     /// The next news for the contacts.
-    fn next_news(&self) -> EndingNews {
+    fn next_news(&self) -> CrashNotice {
         let mut waiting = self.waiting.borrow_mut();
-        EndingNews {
+        CrashNotice {
             servers: take_first(&mut waiting.servers),
             suspects: take_first(&mut waiting.suspects),
-            leaving: take_first(&mut waiting.leaving),
+            draining: take_first(&mut waiting.draining),
         }
     }
 }
@@ -344,8 +344,8 @@
 impl<D: RequestDialect> TrafficState<D> {
     /// The process `start` of a server leaves, as `source` tells: it gets
     /// nothing new from here, and the other instances learn it.
-    pub fn note_leaving(&self, start: &ServerStart, source: &str) {
-        if !self.servers.borrow_mut().note_leaving(start) {
+    pub fn note_draining(&self, start: &ServerStart, source: &str) {
+        if !self.servers.borrow_mut().note_draining(start) {
             return;
         }
         event!(
@@ -354,17 +354,17 @@
             start.server,
             start.started
         );
-        self.suspects.note_leaving(start.clone());
+        self.suspects.note_draining(start.clone());
     }
 
     /// Takes over what another instance tells of servers that ended or leave.
-    pub fn take_endings(&self, news: &EndingNews) {
-        for start in &news.leaving {
-            self.note_leaving(start, "instance");
+    pub fn apply_crash_notice(&self, news: &CrashNotice) {
+        for start in &news.draining {
+            self.note_draining(start, "instance");
         }
         let servers = self.suspects.take_news(news, self.now());
         if !servers.is_empty() {
-            self.endings.note_end();
+            self.crash_detector.note_crash();
         }
         let pool = self.servers.borrow();
         for closed in servers {
@@ -382,23 +382,23 @@
     }
 
     /// Whether this instance keeps the topic of suspects tidy.
-    pub fn keeps_suspects(&self) -> bool {
+    pub fn maintains_suspects(&self) -> bool {
         self.directory.borrow().is_first_for(STORE_SUBJECT)
     }
 }
 
 /// Logs that the request `id` is sent on suspicion, or refused.
-pub fn log_standing(id: &str, print: &RequestPrint, standing: &SuspectStanding) {
-    let (code, verdict, case) = match standing {
-        SuspectStanding::Clear => return,
-        SuspectStanding::Suspect(case) => (EventCode::RequestSuspect, "suspect", case),
-        SuspectStanding::Condemned(case) => (EventCode::RequestCondemned, "condemned", case),
+pub fn log_suspect_status(id: &str, fingerprint: &RequestFingerprint, status: &SuspectStatus) {
+    let (code, verdict, case) = match status {
+        SuspectStatus::Clear => return,
+        SuspectStatus::Suspect(case) => (EventCode::RequestSuspect, "suspect", case),
+        SuspectStatus::Quarantined(case) => (EventCode::RequestCondemned, "condemned", case),
     };
     counter!(SUSPECT_REQUESTS, "verdict" => verdict).increment(1);
     let now = UnixMillis::now();
     event!(
         code,
-        "request={id} print={print} servers={} rounds={} newest_server={} reporter={} age_ms={} released_s={}",
+        "request={id} print={fingerprint} servers={} rounds={} newest_server={} reporter={} age_ms={} released_s={}",
         case.servers,
         case.rounds,
         case.newest.server,
@@ -409,7 +409,7 @@
 }
 
 /// Passes news on over the link for as long as the runtime runs.
-pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     loop {
         let news = state.suspects.next_news();
         if news.is_empty() {
@@ -428,7 +428,7 @@
 async fn tell<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
-    news: EndingNews,
+    news: CrashNotice,
 ) {
     let Some(link) = state.link.borrow().clone() else {
         return;
@@ -443,7 +443,7 @@
             "peer={contact} servers={} suspects={} leaving={}",
             news.servers.len(),
             news.suspects.len(),
-            news.leaving.len()
+            news.draining.len()
         );
     }
 }
--- a/crates/hibiscus-traffic/tests/server_news.rs
+++ b/crates/hibiscus-traffic/tests/server_changes.rs
@@ -5,12 +5,12 @@
 
 use hibiscus_traffic::model::ServerEntry;
 use hibiscus_traffic::model::ServerPhase;
-use hibiscus_traffic::server_news;
-use hibiscus_traffic::server_news::NewsDraft;
-use hibiscus_traffic::server_news::NewsGap;
-use hibiscus_traffic::server_news::ServerBook;
-use hibiscus_traffic::server_news::ServerChange;
-use hibiscus_traffic::server_news::ServerNews;
+use hibiscus_traffic::server_changes;
+use hibiscus_traffic::server_changes::ChangeGap;
+use hibiscus_traffic::server_changes::EntryTable;
+use hibiscus_traffic::server_changes::PendingChanges;
+use hibiscus_traffic::server_changes::ServerChange;
+use hibiscus_traffic::server_changes::ServerChangeSet;
 use hibiscus_types::ServerName;
 use hibiscus_types::codec;
 use proptest::collection::vec;
@@ -48,8 +48,8 @@
 /// (issue 29).
 #[test]
 fn entries_that_are_written_again_unchanged_make_no_news() {
-    let mut book = ServerBook::default();
-    let mut draft = NewsDraft::new(0, Duration::ZERO);
+    let mut book = EntryTable::default();
+    let mut draft = PendingChanges::new(0, Duration::ZERO);
     let mut offset = 0;
     for round in 0..5 {
         for number in 0..SERVERS {
@@ -73,18 +73,18 @@
 
 #[test]
 fn a_large_change_goes_out_in_records_that_the_store_takes() {
-    let mut book = ServerBook::default();
-    let mut draft = NewsDraft::new(0, Duration::ZERO);
+    let mut book = EntryTable::default();
+    let mut draft = PendingChanges::new(0, Duration::ZERO);
     for number in 0..SERVERS {
         let change = book.take(number, present(number, 1)).expect("a change");
         draft.note(number, change, Duration::ZERO);
     }
-    let mut follower = ServerBook::default();
+    let mut follower = EntryTable::default();
     let mut changes = 0;
     for part in draft.news(book.position()) {
         let bytes = codec::encode(&part).expect("news are encoded");
         assert!(bytes.len() < 262_144, "{} bytes", bytes.len());
-        changes += follower.take_news(part).expect("no gap").len();
+        changes += follower.apply_change_set(part).expect("no gap").len();
     }
     assert_eq!(changes, SERVERS as usize);
     assert_eq!(follower.position(), book.position());
@@ -92,19 +92,22 @@
 
 #[test]
 fn news_that_are_missing_are_seen_and_copies_change_nothing() {
-    let mut book = ServerBook::new(&[entry(1, 1, ServerPhase::Serving)], 100);
-    let news = |from, upto, changes| ServerNews {
+    let mut book = EntryTable::new(&[entry(1, 1, ServerPhase::Serving)], 100);
+    let news = |from, upto, changes| ServerChangeSet {
         from,
         upto,
         changes,
     };
     let first = news(90, 110, vec![(95, gone(1)), (105, present(2, 1))]);
-    let changes = book.take_news(first.clone()).expect("no gap");
+    let changes = book.apply_change_set(first.clone()).expect("no gap");
     // The record at 95 is contained in what was read.
     assert_eq!(changes, [present(2, 1)]);
-    assert_eq!(book.take_news(first).expect("no gap"), []);
+    assert_eq!(book.apply_change_set(first).expect("no gap"), []);
     let later = news(120, 130, vec![(125, gone(2))]);
-    assert_eq!(book.take_news(later), Err(NewsGap { position: 110 }));
+    assert_eq!(
+        book.apply_change_set(later),
+        Err(ChangeGap { position: 110 })
+    );
     assert_eq!(book.position(), 110);
 }
 
@@ -112,7 +115,7 @@
 /// known.
 #[test]
 fn the_next_relay_and_then_each_instance_step_in_within_two_seconds() {
-    let mut first = NewsDraft::new(0, Duration::ZERO);
+    let mut first = PendingChanges::new(0, Duration::ZERO);
     let mut second = first.clone();
     for draft in [&mut first, &mut second] {
         draft.note(7, gone(1), ms(300));
@@ -125,8 +128,8 @@
     second.note_published(8, ms(650));
     assert!(!second.is_due(1, ms(700)));
     assert!(second.is_due(1, ms(2_050)));
-    assert!(!server_news::is_silent(ms(100), ms(1_200)));
-    assert!(server_news::is_silent(ms(100), ms(1_500)));
+    assert!(!server_changes::is_silent(ms(100), ms(1_200)));
+    assert!(server_changes::is_silent(ms(100), ms(1_500)));
 }
 
 proptest! {
@@ -161,8 +164,8 @@
             ends.retain(|end| *end < records.len());
             ends.push(records.len());
             ends.sort_unstable();
-            let mut book = ServerBook::default();
-            let mut draft = NewsDraft::new(0, Duration::ZERO);
+            let mut book = EntryTable::default();
+            let mut draft = PendingChanges::new(0, Duration::ZERO);
             let mut next = 0;
             for end in ends {
                 for (offset, change) in &records[next..end.max(next)] {
@@ -176,7 +179,7 @@
             }
         }
         published.sort_by_key(|news| news.upto);
-        let mut follower = ServerBook::default();
+        let mut follower = EntryTable::default();
         let mut known: BTreeMap<ServerName, ServerEntry> = BTreeMap::new();
         let mut apply = |change: ServerChange| match change {
             ServerChange::Present(entry) => drop(known.insert(entry.name.clone(), entry)),
@@ -186,7 +189,7 @@
             if lost.contains(&number) {
                 continue;
             }
-            match follower.take_news(news) {
+            match follower.apply_change_set(news) {
                 Ok(changes) => changes.into_iter().for_each(&mut apply),
                 Err(gap) => {
                     for (offset, change) in &records[gap.position as usize..] {
--- a/crates/hibiscus-traffic/tests/state.rs
+++ b/crates/hibiscus-traffic/tests/state.rs
@@ -32,7 +32,7 @@
 use hibiscus_traffic::state::TrafficParts;
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::state::start;
-use hibiscus_traffic::suspects::SuspectDesk;
+use hibiscus_traffic::suspects::SuspectTracker;
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::ConfigSource;
 use hibiscus_traffic::updates::TrafficUpdate;
@@ -106,7 +106,7 @@
             slack: 54.0,
             window: Duration::from_secs(10),
         }),
-        suspects: SuspectDesk::new(own.name.clone(), suspects),
+        suspects: SuspectTracker::new(own.name.clone(), suspects),
         directory: InstanceDirectory::new(own),
         bounds: MemoryShares::of_machine(88 << 20, 4_100),
         limits: MachineLimits::default(),
