--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -14,21 +14,20 @@
 use hibiscus_peer::PinnedError;
 use hibiscus_peer::PinnedKeys;
 use hibiscus_peer::PinnedLink;
-use hibiscus_traffic::answer;
 use hibiscus_traffic::budgets::BudgetDesk;
 use hibiscus_traffic::clock::MachineClock;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::endings;
 use hibiscus_traffic::machine;
 use hibiscus_traffic::machine::MachineLimits;
-use hibiscus_traffic::measures;
 use hibiscus_traffic::members;
 use hibiscus_traffic::model::InstanceEntry;
 use hibiscus_traffic::peers;
 use hibiscus_traffic::port;
 use hibiscus_traffic::port::CallerAddress;
 use hibiscus_traffic::recovery;
-use hibiscus_traffic::relay::AnswerBody;
+use hibiscus_traffic::response;
+use hibiscus_traffic::response_body::ResponseBody;
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
 use hibiscus_traffic::shares::MemoryShares;
@@ -36,6 +35,7 @@
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::supply;
 use hibiscus_traffic::suspects::SuspectDesk;
+use hibiscus_traffic::traffic_metrics;
 use hibiscus_traffic::updates;
 use hibiscus_traffic::updates::UpdateReceiver;
 use hibiscus_types::IncarnationId;
@@ -263,12 +263,12 @@
 
 /// The recorder of the metrics, with the bounds of its histograms.
 fn recorder() -> Result<PrometheusRecorder> {
-    let times = &measures::TIME_BOUNDS;
+    let times = &traffic_metrics::TIME_BOUNDS;
     let bounds = [
-        (measures::FIRST_EVENT, &times[..]),
-        (measures::REQUEST_TIME, &times[..]),
-        (measures::EVENT_GAP, &measures::GAP_BOUNDS[..]),
-        (measures::TIMER_LATENESS, &times[..]),
+        (traffic_metrics::FIRST_EVENT, &times[..]),
+        (traffic_metrics::REQUEST_TIME, &times[..]),
+        (traffic_metrics::EVENT_GAP, &traffic_metrics::GAP_BOUNDS[..]),
+        (traffic_metrics::TIMER_LATENESS, &times[..]),
         (platform::store::CALL_TIME, &times[..]),
     ];
     let mut builder = PrometheusBuilder::new();
@@ -316,18 +316,18 @@
     tokio::task::spawn_local(endings::keep(Rc::clone(&state)));
     tokio::task::spawn_local(hibiscus_traffic::suspects::keep(Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_callers(callers, Rc::clone(&state)));
-    tokio::task::spawn_local(port::serve_calls(
+    tokio::task::spawn_local(port::serve_status_requests(
         readiness,
         Rc::clone(&state),
         answer_ready,
     ));
     let lifetime = ADDRESS_LIFETIME.min(settings.address_lifetime);
-    tokio::task::spawn_local(port::serve_calls(
+    tokio::task::spawn_local(port::serve_status_requests(
         directory,
         Rc::clone(&state),
         move |state: &FrontState, request| answer_addresses(state, request, lifetime),
     ));
-    tokio::task::spawn_local(port::serve_calls(operators, Rc::clone(&state), {
+    tokio::task::spawn_local(port::serve_status_requests(operators, Rc::clone(&state), {
         let metrics = metrics.clone();
         move |_state: &FrontState, request: &Request<Incoming>| answer_metrics(&metrics, request)
     }));
@@ -349,7 +349,7 @@
                 let large = state.directory.borrow().is_large();
                 duty.set(state.relay_place(), large);
                 state.members.notify_one();
-                state.end_slow_heads();
+                state.close_slow_heads();
                 state.share_server_connections();
                 state.review_budgets();
                 supply::return_idle(&state);
@@ -484,15 +484,15 @@
 }
 
 /// Answers the readiness check.
-fn answer_ready(state: &FrontState, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn answer_ready(state: &FrontState, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() != answers::READINESS_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
     state.tally.readiness_asked.add();
     if state.directory.borrow().is_ready() {
-        answer::status_answer(http::StatusCode::OK)
+        response::status_response(http::StatusCode::OK)
     } else {
-        answer::status_answer(http::StatusCode::SERVICE_UNAVAILABLE)
+        response::status_response(http::StatusCode::SERVICE_UNAVAILABLE)
     }
 }
 
@@ -501,9 +501,9 @@
     state: &FrontState,
     request: &Request<Incoming>,
     lifetime: Duration,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if request.uri().path() != answers::DIRECTORY_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
     let data_centre = answers::caller_data_centre(query);
@@ -512,13 +512,16 @@
     let caller = caller.map(|caller| caller.0);
     let addresses = directory.addresses_for(data_centre.as_ref(), caller);
     let body = answers::addresses_body(&addresses, lifetime);
-    answer::json_answer(body)
+    response::json_response(body)
 }
 
 /// Answers a call for the metrics.
-fn answer_metrics(metrics: &PrometheusHandle, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn answer_metrics(
+    metrics: &PrometheusHandle,
+    request: &Request<Incoming>,
+) -> Response<ResponseBody> {
     if request.uri().path() != METRICS_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
-    answer::text_answer(metrics.render())
+    response::text_response(metrics.render())
 }
--- a/crates/hibiscus-traffic/src/bounded.rs
+++ b/crates/hibiscus-traffic/src/bounded.rs
@@ -24,12 +24,12 @@
 
 /// Counts the bytes of an answer's head. Clones share the count.
 #[derive(Clone, Debug, Default)]
-pub struct HeadCount {
+pub struct HeadByteCounter {
     /// Bytes so far; `None` while no head is awaited.
     bytes: Rc<Cell<Option<usize>>>,
 }
 
-impl HeadCount {
+impl HeadByteCounter {
     /// A head is awaited from now on.
     pub fn begin(&self) {
         self.bytes.set(Some(0));
@@ -55,14 +55,14 @@
 #[derive(Debug)]
 pub struct BoundedStream {
     stream: TcpStream,
-    head: HeadCount,
+    head: HeadByteCounter,
     /// Bytes read in this turn.
     turn: usize,
 }
 
 impl BoundedStream {
     /// Bounds `stream`, whose heads `head` counts.
-    pub fn new(stream: TcpStream, head: HeadCount) -> Self {
+    pub fn new(stream: TcpStream, head: HeadByteCounter) -> Self {
         Self {
             stream,
             head,
--- a/crates/hibiscus-traffic/src/callers.rs
+++ b/crates/hibiscus-traffic/src/callers.rs
@@ -139,7 +139,7 @@
 
     /// Ends connections whose head has been arriving for longer than `limit`;
     /// returns how many.
-    pub fn end_slow_heads(&self, limit: Duration) -> usize {
+    pub fn close_slow_heads(&self, limit: Duration) -> usize {
         let mut ended = 0;
         for slot in self.slots.borrow().values() {
             let starting = slot.phase.get() == CallerPhase::Starting;
--- a/crates/hibiscus-traffic/src/connect.rs
+++ b/crates/hibiscus-traffic/src/connect.rs
@@ -15,11 +15,11 @@
 use tokio::task::JoinHandle;
 
 use crate::bounded::BoundedStream;
-use crate::bounded::HeadCount;
-use crate::idle::IdleLink;
+use crate::bounded::HeadByteCounter;
+use crate::idle::IdleConnection;
 
 /// Time for a new connection: links take a few milliseconds and a server 1 ms.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which sent bytes may stay unacknowledged; a path that is cut off
 /// shows in no other way.
 const ACKNOWLEDGE_LIMIT: Duration = Duration::from_millis(1_500);
@@ -55,9 +55,9 @@
 }
 
 /// Looks whether something listens at `address`.
-pub async fn look_at_port(address: SocketAddr) -> PortState {
+pub async fn probe_port(address: SocketAddr) -> PortState {
     let connect = TcpStream::connect(address);
-    match tokio::time::timeout(CONNECT_LIMIT, connect).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
         Ok(Ok(_stream)) => PortState::Open,
         Ok(Err(error)) => match error.kind() {
             ErrorKind::ConnectionRefused => PortState::Closed,
@@ -72,15 +72,15 @@
 /// One connection. Dropping it closes the socket at once, which tells the
 /// server to stop.
 #[derive(Debug)]
-pub struct ServerLink {
+pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
-    head: HeadCount,
+    head: HeadByteCounter,
     task: JoinHandle<()>,
     idle_limit: Duration,
     parked: Option<Instant>,
 }
 
-impl ServerLink {
+impl ServerConnection {
     /// Connects to the server at `address`.
     ///
     /// # Errors
@@ -88,7 +88,7 @@
     /// Fails when the server refuses or stays silent.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         let connect = TcpStream::connect(address);
-        let stream = match tokio::time::timeout(CONNECT_LIMIT, connect).await {
+        let stream = match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
                 return Err(ConnectFault::Closed);
@@ -97,7 +97,7 @@
             Err(_elapsed) => return Err(ConnectFault::Silent),
         };
         set_options(&stream);
-        let head = HeadCount::default();
+        let head = HeadByteCounter::default();
         let stream = BoundedStream::new(stream, head.clone());
         let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (sender, connection) = shaken.map_err(|_closed| ConnectFault::Refused)?;
@@ -120,7 +120,7 @@
     }
 
     /// Counts the bytes of the next answer's head.
-    pub fn head(&self) -> &HeadCount {
+    pub fn head(&self) -> &HeadByteCounter {
         &self.head
     }
 
@@ -135,14 +135,14 @@
     }
 }
 
-impl IdleLink for ServerLink {
+impl IdleConnection for ServerConnection {
     fn is_usable(&self) -> bool {
         let rested = self.parked.map_or(Duration::ZERO, |since| since.elapsed());
         !self.sender.is_closed() && rested < self.idle_limit
     }
 }
 
-impl Drop for ServerLink {
+impl Drop for ServerConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/hibiscus-traffic/src/directory.rs
+++ b/crates/hibiscus-traffic/src/directory.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether `entry` is the newest process known of its instance.
-    pub fn knows(&self, entry: &InstanceEntry) -> bool {
+    pub fn is_current(&self, entry: &InstanceEntry) -> bool {
         let known = self.others.get(&entry.name);
         known.is_some_and(|known| known.entry.incarnation == entry.incarnation)
     }
@@ -168,14 +168,14 @@
     }
 
     /// Takes over what another instance found, and answers it.
-    pub fn take_message(&mut self, message: SilenceMessage) -> SilenceMessage {
+    pub fn handle_message(&mut self, message: SilenceMessage) -> SilenceMessage {
         let answer = self.board.take(message, self.begun.elapsed());
         self.recount();
         answer
     }
 
     /// Takes over an answer, to a question for all that is known if `joining`.
-    pub fn take_answer(&mut self, answer: SilenceMessage, joining: bool) {
+    pub fn handle_response(&mut self, answer: SilenceMessage, joining: bool) {
         self.board.take_answer(answer, self.begun.elapsed());
         if joining {
             self.board.note_joined();
@@ -184,12 +184,12 @@
     }
 
     /// Whether this instance found something that others must learn.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         self.board.has_news()
     }
 
     /// What others must learn.
-    pub fn next_news(&mut self) -> Option<SilenceMessage> {
+    pub fn next_update(&mut self) -> Option<SilenceMessage> {
         self.board.next_news()
     }
 
@@ -204,19 +204,19 @@
     }
 
     /// The processes that this instance watches.
-    pub fn watched(&self) -> Vec<&InstanceEntry> {
+    pub fn monitored(&self) -> Vec<&InstanceEntry> {
         let watched = self.board.watched().iter();
         let known = watched.filter_map(|name| self.others.get(name));
         known.map(|known| &known.entry).collect()
     }
 
     /// Whether this instance watches the process that announced `entry`.
-    pub fn watches(&self, entry: &InstanceEntry) -> bool {
-        self.knows(entry) && self.board.watched().contains(&entry.name)
+    pub fn monitors(&self, entry: &InstanceEntry) -> bool {
+        self.is_current(entry) && self.board.watched().contains(&entry.name)
     }
 
     /// Where the instances take questions that learn of news from this one.
-    pub fn contacts(&self) -> Vec<SocketAddr> {
+    pub fn contact_addresses(&self) -> Vec<SocketAddr> {
         let known = self
             .board
             .contacts()
@@ -268,19 +268,19 @@
     }
 
     /// Instances that may serve, this one included.
-    pub fn live(&self) -> u32 {
+    pub fn live_count(&self) -> u32 {
         self.answering.saturating_add(1)
     }
 
     /// Instances that may be serving, this one included: also those that do
     /// not answer, since they may be cut off from here only.
-    pub fn may_serve(&self) -> u32 {
+    pub fn possibly_live_count(&self) -> u32 {
         self.remembered.saturating_add(1)
     }
 
     /// Whether more than half of the instances that may be serving answer.
-    pub fn reaches_most(&self) -> bool {
-        self.live() * 2 > self.may_serve()
+    pub fn reaches_majority(&self) -> bool {
+        self.live_count() * 2 > self.possibly_live_count()
     }
 
     /// Whether this instance is the first of those that answer in the order
@@ -323,7 +323,7 @@
     }
 
     /// Where the instances that answer take questions.
-    pub fn peers(&self) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         self.held_to_answer()
             .map(|known| known.entry.peers)
             .collect()
--- a/crates/hibiscus-traffic/src/endings.rs
+++ b/crates/hibiscus-traffic/src/endings.rs
@@ -26,10 +26,10 @@
 use crate::callers::BodyBytes;
 use crate::connect;
 use crate::connect::PortState;
-use crate::dialect::RequestDialect;
 use crate::model::ServerStart;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Servers that ended with requests of this instance on them.
 pub const SERVERS_ENDED: &str = "hibiscus_servers_ended_total";
@@ -280,7 +280,7 @@
 }
 
 /// Looks at servers that broke requests off for as long as the runtime runs.
-pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn keep<D: WireFormat>(state: Rc<TrafficState<D>>) {
     loop {
         state.endings.noted.notified().await;
         for server in state.endings.take_new() {
@@ -290,12 +290,12 @@
 }
 
 /// Finds out whether `server` has ended.
-async fn look<D: RequestDialect>(state: Rc<TrafficState<D>>, server: Rc<ServerHandle>) {
+async fn look<D: WireFormat>(state: Rc<TrafficState<D>>, server: Rc<ServerHandle>) {
     tokio::time::sleep(GATHER_TIME).await;
     let port = if server.has_open_link() {
         PortState::Open
     } else {
-        connect::look_at_port(server.entry.address).await
+        connect::probe_port(server.entry.address).await
     };
     let requests = state.endings.close(&server, port);
     let entry = &server.entry;
--- a/crates/hibiscus-traffic/src/life.rs
+++ b/crates/hibiscus-traffic/src/handler.rs
@@ -2,7 +2,7 @@
 //!
 //! `admission` finds route and team and reads the body, `reservation` sets the
 //! tokens aside, `forwarding` sends the request until a server answers. A step
-//! that fails names the [`OwnRefusal`] that the caller is told.
+//! that fails names the [`LocalRefusal`] that the caller is told.
 
 mod admission;
 mod forwarding;
@@ -18,21 +18,21 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 
-use crate::answer;
-use crate::answer::OwnReason;
-use crate::answer::OwnRefusal;
 use crate::callers::CallerRequest;
-use crate::dialect::RequestDialect;
-use crate::flight::RequestProgress;
-use crate::life::admission::AdmittedRequest;
-use crate::life::forwarding::ForwardedAnswer;
-use crate::measures::RequestOutcome;
+use crate::handler::admission::AdmittedRequest;
+use crate::handler::forwarding::ForwardedAnswer;
+use crate::in_flight::RequestProgress;
 use crate::model::RequestKind;
-use crate::relay::AnswerBody;
+use crate::response;
+use crate::response::LocalReason;
+use crate::response::LocalRefusal;
+use crate::response_body::ResponseBody;
 use crate::state::TrafficState;
+use crate::traffic_metrics::RequestOutcome;
+use crate::wire_format::WireFormat;
 
 /// Result of a step; the reason is the answer.
-type Result<T> = std::result::Result<T, OwnRefusal>;
+type Result<T> = std::result::Result<T, LocalRefusal>;
 
 /// What is known of a request so far, for the log and the metrics.
 #[derive(Debug)]
@@ -75,11 +75,11 @@
 }
 
 /// Serves one request; every way out is an answer.
-pub async fn serve<D: RequestDialect>(
+pub async fn serve<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     request: Request<Incoming>,
     caller: CallerRequest,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let progress = RequestProgress::new(caller, state.count_request());
     let mut unanswered = UnansweredRequest {
         known: KnownRequest {
@@ -108,20 +108,20 @@
 }
 
 /// Admits the request, reserves its tokens and forwards it.
-async fn work<D: RequestDialect>(
+async fn work<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     request: Request<Incoming>,
     known: &mut KnownRequest,
 ) -> Result<(AdmittedRequest, ForwardedAnswer)> {
     let (head, body) = request.into_parts();
-    let signs = state.dialect.caller_signs(&head.headers);
-    let signs = signs.map_err(|_fault| OwnReason::BadRequest)?;
+    let signs = state.dialect.parse_caller_headers(&head.headers);
+    let signs = signs.map_err(|_fault| LocalReason::BadRequest)?;
     known.id.clone_from(&signs.id);
     if state.is_closing() {
-        return Err(OwnReason::Stopping.into());
+        return Err(LocalReason::Stopping.into());
     }
     if !state.has_room() {
-        return Err(OwnReason::Overloaded.into());
+        return Err(LocalReason::Overloaded.into());
     }
     let admitted = admission::admit(state, signs, head, body, known).await?;
     forwarding::check_standing(state, &admitted)?;
@@ -132,11 +132,11 @@
 }
 
 /// Logs, counts and makes an answer of this instance.
-fn refuse<D: RequestDialect>(
+fn refuse<D: WireFormat>(
     state: &TrafficState<D>,
-    refusal: OwnRefusal,
+    refusal: LocalRefusal,
     known: &KnownRequest,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let reason = refusal.reason;
     let taken = known.arrived.elapsed();
     event!(
@@ -146,7 +146,9 @@
         reason.word(),
         taken.as_millis()
     );
-    state.measures.own_answer(reason);
-    state.measures.ended(known.kind, RequestOutcome::Own, taken);
-    answer::own_answer(&state.dialect, refusal, &known.id)
+    state.measures.count_local_response(reason);
+    state
+        .measures
+        .record_request_end(known.kind, RequestOutcome::Own, taken);
+    response::local_response(&state.dialect, refusal, &known.id)
 }
--- a/crates/hibiscus-traffic/src/life/admission.rs
+++ b/crates/hibiscus-traffic/src/handler/admission.rs
@@ -13,25 +13,25 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::answer::OwnReason;
 use crate::callers::BodyBytes;
-use crate::dialect::CallerSigns;
-use crate::dialect::RequestDialect;
 use crate::endings::RequestIdentity;
-use crate::life::KnownRequest;
-use crate::life::Result;
+use crate::handler::KnownRequest;
+use crate::handler::Result;
 use crate::model::RouteRule;
 use crate::model::TeamRule;
+use crate::response::LocalReason;
 use crate::send;
 use crate::state::TrafficState;
 use crate::state::start;
 use crate::table;
 use crate::table::RouteTable;
+use crate::wire_format::CallerHeaders;
+use crate::wire_format::WireFormat;
 
 /// A request that may be sent.
 #[derive(Debug)]
 pub(super) struct AdmittedRequest {
-    pub(super) signs: CallerSigns,
+    pub(super) signs: CallerHeaders,
     pub(super) table: Rc<RouteTable>,
     pub(super) route: Arc<RouteRule>,
     pub(super) team: Option<Arc<TeamRule>>,
@@ -47,9 +47,9 @@
 }
 
 /// Finds route and team and reads the body.
-pub(super) async fn admit<D: RequestDialect>(
+pub(super) async fn admit<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
-    signs: CallerSigns,
+    signs: CallerHeaders,
     head: http::request::Parts,
     body: Incoming,
     known: &mut KnownRequest,
@@ -58,30 +58,30 @@
     if let Some(end) = start::wait_end(arrived, signs.deadline, state.now()) {
         state.wait_known(end).await;
     }
-    let table = state.table().ok_or(OwnReason::NoConfig)?;
+    let table = state.table().ok_or(LocalReason::NoConfig)?;
     let host = head.headers.get(header::HOST);
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = table.route(host, head.uri.path());
-    let route = Arc::clone(route.ok_or(OwnReason::UnknownRoute)?);
+    let route = Arc::clone(route.ok_or(LocalReason::UnknownRoute)?);
     known.kind = Some(route.kind);
     let team = signs.key.as_deref().and_then(|key| table.team(key));
     let team = team.map(Arc::clone);
     if table.config().needs_key && !route.anonymous && team.is_none() {
-        return Err(OwnReason::UnknownKey.into());
+        return Err(LocalReason::UnknownKey.into());
     }
     let pick = fastrand::u32(..);
-    let service = table::service_of(&route, pick).ok_or(OwnReason::NoServer)?;
+    let service = table::pick_service(&route, pick).ok_or(LocalReason::NoServer)?;
     let service = service.clone();
     let wait = signs.deadline.unwrap_or(route.timeout).min(route.timeout);
     let until = arrived + wait;
     let limit = table.config().limits.body_bytes;
     let reading = read_body(body, limit, state.callers.begin_body());
     let read = tokio::time::timeout_at(until.into(), reading).await;
-    let body = read.map_err(|_elapsed| OwnReason::TimeSpent)??;
+    let body = read.map_err(|_elapsed| LocalReason::TimeSpent)??;
     known.body_read = true;
     let mut headers = head.headers;
     send::strip_connection_headers(&mut headers);
-    state.dialect.strip_own(&mut headers);
+    state.dialect.strip_internal_headers(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let caller = team.as_ref().map(|team| team.name.clone());
     Ok(AdmittedRequest {
@@ -105,19 +105,19 @@
     mut held: BodyBytes,
 ) -> Result<(Bytes, BodyBytes)> {
     if hyper::body::Body::size_hint(&body).lower() > limit as u64 {
-        return Err(OwnReason::BodyTooLong.into());
+        return Err(LocalReason::BodyTooLong.into());
     }
     let mut gathered = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_broken| OwnReason::BadRequest)?;
+        let frame = frame.map_err(|_broken| LocalReason::BadRequest)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
         if gathered.len() + data.len() > limit {
-            return Err(OwnReason::BodyTooLong.into());
+            return Err(LocalReason::BodyTooLong.into());
         }
         if !held.grow(data.len()) {
-            return Err(OwnReason::Overloaded.into());
+            return Err(LocalReason::Overloaded.into());
         }
         gathered.extend_from_slice(&data);
     }
--- a/crates/hibiscus-traffic/src/life/forwarding.rs
+++ b/crates/hibiscus-traffic/src/handler/forwarding.rs
@@ -16,36 +16,36 @@
 use http_body_util::Limited;
 use hyper::body::Incoming;
 
-use crate::answer::OwnReason;
-use crate::answer::OwnRefusal;
 use crate::connect::ConnectFault;
-use crate::dialect::CallerSigns;
-use crate::dialect::RequestDialect;
-use crate::dialect::ServerSigns;
 use crate::endings::EndingWatch;
 use crate::endings::ExposedRequest;
 use crate::endings::StreamExposure;
-use crate::flight::FlightWatch;
-use crate::flight::RequestCharge;
-use crate::flight::RequestProgress;
-use crate::flight::ServerFlight;
-use crate::life::Result;
-use crate::life::admission::AdmittedRequest;
-use crate::measures::RequestOutcome;
-use crate::measures::TrafficMeasures;
-use crate::relay::AnswerBody;
-use crate::relay::StreamRelay;
+use crate::handler::Result;
+use crate::handler::admission::AdmittedRequest;
+use crate::in_flight::InFlightRequest;
+use crate::in_flight::RequestCharge;
+use crate::in_flight::RequestProgress;
+use crate::in_flight::ResponseTracker;
+use crate::response::LocalReason;
+use crate::response::LocalRefusal;
+use crate::response_body::ResponseBody;
+use crate::response_body::StreamForwarder;
 use crate::send;
 use crate::send::FailureCause;
 use crate::send::OutgoingRequest;
 use crate::send::SendOutcome;
-use crate::send::ServerAnswer;
+use crate::send::ServerResponse;
 use crate::servers::NoServer;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 use crate::suspects;
 use crate::suspects::SuspectDesk;
 use crate::suspects::SuspectStanding;
+use crate::traffic_metrics::RequestOutcome;
+use crate::traffic_metrics::TrafficMetrics;
+use crate::wire_format::CallerHeaders;
+use crate::wire_format::ServerHeaders;
+use crate::wire_format::WireFormat;
 
 /// Servers tried for one request while none has run it.
 const TRIES: usize = 4;
@@ -67,7 +67,7 @@
     /// Servers that may have run the request.
     runs: u32,
     /// The answer when nothing better comes.
-    refusal: OwnRefusal,
+    refusal: LocalRefusal,
     /// A server's own failure, which says more than the reason.
     failure: Option<Response<Bytes>>,
 }
@@ -86,7 +86,7 @@
 
 impl ForwardTrail {
     /// No server ran the request at this attempt.
-    fn note_not_run(&mut self, reason: OwnReason, charge: Option<&Rc<RequestCharge>>) {
+    fn note_not_run(&mut self, reason: LocalReason, charge: Option<&Rc<RequestCharge>>) {
         if self.runs > 0 {
             return;
         }
@@ -103,10 +103,10 @@
         }
         if let NoServer::Pausing(back) = none {
             let reason = match self.refusal.reason {
-                OwnReason::NoServer => OwnReason::ServersPausing,
+                LocalReason::NoServer => LocalReason::ServersPausing,
                 other => other,
             };
-            self.refusal = OwnRefusal {
+            self.refusal = LocalRefusal {
                 reason,
                 chance: back,
             };
@@ -127,7 +127,7 @@
             admitted.arrived.elapsed().as_millis()
         );
         self.runs += 1;
-        self.refusal = OwnReason::Unknown.into();
+        self.refusal = LocalReason::Unknown.into();
         if may_run_again(admitted, self.runs) {
             NextStep::Retry
         } else {
@@ -142,7 +142,7 @@
 }
 
 /// What is known against the request; fails when it must not be sent.
-pub(super) fn check_standing<D: RequestDialect>(
+pub(super) fn check_standing<D: WireFormat>(
     state: &TrafficState<D>,
     admitted: &AdmittedRequest,
 ) -> Result<SuspectStanding> {
@@ -150,13 +150,13 @@
     if let SuspectStanding::Condemned(_) = standing {
         let print = admitted.identity.print();
         suspects::log_standing(&admitted.signs.id, &print, &standing);
-        return Err(OwnReason::EndsServers.into());
+        return Err(LocalReason::EndsServers.into());
     }
     Ok(standing)
 }
 
 /// Sends the request until a server answers or nothing more may be tried.
-pub(super) async fn forward<D: RequestDialect>(
+pub(super) async fn forward<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     admitted: &AdmittedRequest,
     charge: Option<Rc<RequestCharge>>,
@@ -165,7 +165,7 @@
         tried: Vec::new(),
         closed: 0,
         runs: 0,
-        refusal: OwnReason::NoServer.into(),
+        refusal: LocalReason::NoServer.into(),
         failure: None,
     };
     state
@@ -177,9 +177,9 @@
         if left < LEAST_TIME {
             let sent = trail.runs > 0;
             trail.refusal = if sent {
-                OwnReason::TimedOut.into()
+                LocalReason::TimedOut.into()
             } else {
-                OwnReason::TimeSpent.into()
+                LocalReason::TimeSpent.into()
             };
             break;
         }
@@ -188,12 +188,12 @@
             NextStep::Elsewhere => {}
             NextStep::End => break,
             NextStep::Retry => {
-                let instances = state.directory.borrow().may_serve();
+                let instances = state.directory.borrow().possibly_live_count();
                 let mut retries = state.retries.borrow_mut();
                 if !retries.take_retry(&admitted.service, instances, state.now()) {
                     break;
                 }
-                state.measures.retried();
+                state.measures.count_retry();
             }
         }
     }
@@ -201,7 +201,7 @@
 }
 
 /// Chooses a server that was not tried and sends the request there.
-async fn attempt<D: RequestDialect>(
+async fn attempt<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     admitted: &AdmittedRequest,
     charge: Option<&Rc<RequestCharge>>,
@@ -221,7 +221,7 @@
         own_tokens,
         now: state.now(),
     };
-    let others = state.directory.borrow().live().saturating_sub(1);
+    let others = state.directory.borrow().live_count().saturating_sub(1);
     let chosen = state.servers.borrow().choose(
         &admitted.service,
         &trail.tried,
@@ -239,14 +239,14 @@
     let name = chosen.server.entry.name.clone();
     trail.tried.push(name.clone());
     let mut headers = admitted.headers.clone();
-    let signs = ServerSigns {
+    let signs = ServerHeaders {
         server: &name,
         team: admitted.team.as_ref().map(|team| &team.name),
         time_left: admitted.until.saturating_duration_since(Instant::now()),
         urgency: urgency(admitted),
         resume_after: None,
     };
-    state.dialect.set_server_signs(&signs, &mut headers);
+    state.dialect.set_server_headers(&signs, &mut headers);
     let outgoing = OutgoingRequest {
         method: &admitted.method,
         target: admitted.identity.target(),
@@ -254,7 +254,7 @@
         body: &admitted.identity.body,
         id: &admitted.signs.id,
         until: admitted.until,
-        leaves_silent: may_run_again(admitted, trail.runs + 1),
+        abandon_if_silent: may_run_again(admitted, trail.runs + 1),
     };
     let suspect = match &standing {
         SuspectStanding::Clear => None,
@@ -265,7 +265,7 @@
     {
         suspects::log_standing(&admitted.signs.id, print, &standing);
     }
-    let flight = ServerFlight::begin(&chosen, &shared, state.now());
+    let flight = InFlightRequest::begin(&chosen, &shared, state.now());
     if let Some(charge) = charge {
         charge.note_sent(true);
     }
@@ -276,7 +276,7 @@
     );
     let request = ExposedRequest::new(&admitted.signs.id, &admitted.identity, standing.rounds());
     let has_other = || {
-        let instances = state.directory.borrow().may_serve();
+        let instances = state.directory.borrow().possibly_live_count();
         let mut retries = state.retries.borrow_mut();
         retries.has_retry(&admitted.service, instances, state.now())
             && state
@@ -364,7 +364,7 @@
                 "request={} server={name} cause={fault:?}",
                 admitted.signs.id
             );
-            trail.note_not_run(OwnReason::NoServer, charge);
+            trail.note_not_run(LocalReason::NoServer, charge);
             if fault == ConnectFault::Closed {
                 // One known to be closed is tried for want of others only.
                 trail.closed += usize::from(!server.is_closed());
@@ -378,16 +378,16 @@
                 "request={} server={name} status={status}",
                 admitted.signs.id
             );
-            trail.note_not_run(OwnReason::ServersFull, charge);
+            trail.note_not_run(LocalReason::ServersFull, charge);
             NextStep::Retry
         }
         SendOutcome::Withdrawn => {
-            trail.note_not_run(OwnReason::NoServer, charge);
+            trail.note_not_run(LocalReason::NoServer, charge);
             NextStep::Elsewhere
         }
         SendOutcome::Unknown(cause) => attempt.fail(admitted, trail, cause),
         SendOutcome::TimedOut => {
-            trail.refusal = OwnReason::TimedOut.into();
+            trail.refusal = LocalReason::TimedOut.into();
             NextStep::End
         }
     }
@@ -410,7 +410,7 @@
 pub(super) struct BegunStream {
     head: http::response::Parts,
     body: Incoming,
-    flight: ServerFlight,
+    flight: InFlightRequest,
     charge: Option<Rc<RequestCharge>>,
     attempt: SentAttempt,
 }
@@ -421,21 +421,21 @@
         self,
         admitted: &AdmittedRequest,
         progress: RequestProgress,
-        measures: Rc<TrafficMeasures>,
-    ) -> Response<AnswerBody> {
+        measures: Rc<TrafficMetrics>,
+    ) -> Response<ResponseBody> {
         let kind = admitted.route.kind;
         let stream = match self {
             Self::Whole(answer) => {
                 let taken = admitted.arrived.elapsed();
-                measures.first_event(kind, taken);
-                measures.ended(Some(kind), RequestOutcome::Passed, taken);
-                return answer.map(AnswerBody::whole);
+                measures.record_first_event(kind, taken);
+                measures.record_request_end(Some(kind), RequestOutcome::Passed, taken);
+                return answer.map(ResponseBody::whole);
             }
             Self::Stream(stream) => *stream,
         };
         let attempt = stream.attempt;
         let engine = admitted.table.engine(&admitted.service);
-        let watch = FlightWatch {
+        let watch = ResponseTracker {
             id: admitted.signs.id.clone(),
             kind,
             arrived: admitted.arrived,
@@ -450,8 +450,8 @@
             suspect: attempt.suspect,
         };
         let deadline = tokio::time::sleep_until(admitted.until.into());
-        let relay = StreamRelay::new(stream.body, admitted.signs.resume_after, deadline, watch);
-        Response::from_parts(stream.head, AnswerBody::Stream(Box::new(relay)))
+        let relay = StreamForwarder::new(stream.body, admitted.signs.resume_after, deadline, watch);
+        Response::from_parts(stream.head, ResponseBody::Stream(Box::new(relay)))
     }
 }
 
@@ -459,7 +459,7 @@
 /// is gathered first, so that a broken one is never begun.
 async fn take_answer(
     admitted: &AdmittedRequest,
-    answer: ServerAnswer,
+    answer: ServerResponse,
     charge: Option<&Rc<RequestCharge>>,
     attempt: &SentAttempt,
 ) -> std::result::Result<ForwardedAnswer, FailureCause> {
@@ -505,7 +505,7 @@
 }
 
 /// The parts of a prompt that other requests may share, and the rest's tokens.
-fn shared_parts(signs: &CallerSigns) -> (Vec<PartTokens>, u64) {
+fn shared_parts(signs: &CallerHeaders) -> (Vec<PartTokens>, u64) {
     let Some((own, shared)) = signs.parts.split_last() else {
         return (Vec::new(), signs.prompt_tokens);
     };
--- a/crates/hibiscus-traffic/src/life/reservation.rs
+++ b/crates/hibiscus-traffic/src/handler/reservation.rs
@@ -5,18 +5,18 @@
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
 
-use crate::answer::OwnReason;
-use crate::answer::OwnRefusal;
 use crate::budgets::TokenRefusal;
-use crate::dialect::RequestDialect;
-use crate::flight::RequestCharge;
-use crate::life::Result;
-use crate::life::admission::AdmittedRequest;
+use crate::handler::Result;
+use crate::handler::admission::AdmittedRequest;
+use crate::in_flight::RequestCharge;
+use crate::response::LocalReason;
+use crate::response::LocalRefusal;
 use crate::state::TrafficState;
 use crate::supply;
+use crate::wire_format::WireFormat;
 
 /// Logs what was held when a request got no tokens.
-pub(super) fn log_shortage<D: RequestDialect>(state: &TrafficState<D>, admitted: &AdmittedRequest) {
+pub(super) fn log_shortage<D: WireFormat>(state: &TrafficState<D>, admitted: &AdmittedRequest) {
     let Some(team) = &admitted.team else {
         return;
     };
@@ -28,7 +28,7 @@
 }
 
 /// Sets aside the most that the request may cost.
-pub(super) async fn reserve<D: RequestDialect>(
+pub(super) async fn reserve<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     admitted: &AdmittedRequest,
 ) -> Result<Option<Rc<RequestCharge>>> {
@@ -42,10 +42,10 @@
     let budget = BudgetName::new(team.name.as_str());
     let tokens = TokenCount::new(most);
     let hold = supply::reserve(state, &budget, tokens, admitted.until).await;
-    let hold = hold.map_err(|refusal| OwnRefusal {
+    let hold = hold.map_err(|refusal| LocalRefusal {
         reason: match refusal {
-            TokenRefusal::Spent => OwnReason::BudgetSpent,
-            TokenRefusal::Unconfirmed | TokenRefusal::Later(_) => OwnReason::BudgetUnconfirmed,
+            TokenRefusal::Spent => LocalReason::BudgetSpent,
+            TokenRefusal::Unconfirmed | TokenRefusal::Later(_) => LocalReason::BudgetUnconfirmed,
         },
         chance: refusal.chance(),
     })?;
--- a/crates/hibiscus-traffic/src/idle.rs
+++ b/crates/hibiscus-traffic/src/idle.rs
@@ -9,24 +9,24 @@
 use std::collections::BTreeMap;
 
 /// A connection that may be kept.
-pub trait IdleLink {
+pub trait IdleConnection {
     /// Whether a request may be sent on it.
     fn is_usable(&self) -> bool;
 }
 
 /// Names one kept connection; a later one is greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct IdleTicket(u64);
+pub struct IdleConnectionId(u64);
 
 /// The connections that are kept.
 #[derive(Debug)]
-pub struct IdleLinks<L> {
+pub struct IdleConnections<L> {
     limit: Cell<usize>,
     next: Cell<u64>,
-    links: RefCell<BTreeMap<IdleTicket, L>>,
+    links: RefCell<BTreeMap<IdleConnectionId, L>>,
 }
 
-impl<L: IdleLink> IdleLinks<L> {
+impl<L: IdleConnection> IdleConnections<L> {
     /// At most `limit` connections.
     pub fn new(limit: usize) -> Self {
         Self {
@@ -44,8 +44,8 @@
 
     /// Keeps `link`, in place of the one that has been idle for longest when
     /// there is no room.
-    pub fn put(&self, link: L) -> IdleTicket {
-        let ticket = IdleTicket(self.next.get());
+    pub fn put(&self, link: L) -> IdleConnectionId {
+        let ticket = IdleConnectionId(self.next.get());
         self.next.set(ticket.0 + 1);
         let limit = self.limit.get();
         if limit > 0 {
@@ -56,20 +56,20 @@
     }
 
     /// Takes the connection back, unless it was dropped or is of no use.
-    pub fn take(&self, ticket: IdleTicket) -> Option<L> {
+    pub fn take(&self, ticket: IdleConnectionId) -> Option<L> {
         let link = self.links.borrow_mut().remove(&ticket);
-        link.filter(IdleLink::is_usable)
+        link.filter(IdleConnection::is_usable)
     }
 
     /// Whether the connection is still kept.
-    pub fn holds(&self, ticket: IdleTicket) -> bool {
+    pub fn holds(&self, ticket: IdleConnectionId) -> bool {
         self.links.borrow().contains_key(&ticket)
     }
 
     /// Whether the connection is still kept and of use.
-    pub fn is_usable(&self, ticket: IdleTicket) -> bool {
+    pub fn is_usable(&self, ticket: IdleConnectionId) -> bool {
         let links = self.links.borrow();
-        links.get(&ticket).is_some_and(IdleLink::is_usable)
+        links.get(&ticket).is_some_and(IdleConnection::is_usable)
     }
 
     /// Drops the connections that are of no use any more.
--- a/crates/hibiscus-traffic/src/flight.rs
+++ b/crates/hibiscus-traffic/src/in_flight.rs
@@ -15,17 +15,17 @@
 
 use crate::budgets::BudgetHandle;
 use crate::callers::CallerRequest;
-use crate::connect::ServerLink;
+use crate::connect::ServerConnection;
 use crate::endings::StreamExposure;
-use crate::measures::RequestOutcome;
-use crate::measures::TrafficMeasures;
 use crate::model::RequestKind;
-use crate::relay::RelayFault;
+use crate::response_body::BodyFault;
 use crate::servers::ChosenServer;
 use crate::servers::ServerHandle;
 use crate::state::CountGuard;
 use crate::suspects::SuspectDesk;
 use crate::tally::CloseReason;
+use crate::traffic_metrics::RequestOutcome;
+use crate::traffic_metrics::TrafficMetrics;
 
 /// A request's reservation. It is settled once, when the last owner is
 /// dropped, by what was noted until then.
@@ -79,15 +79,15 @@
 /// A request at a server. Dropping it before its answer was whole closes the
 /// connection, which tells the server to stop.
 #[derive(Debug)]
-pub struct ServerFlight {
+pub struct InFlightRequest {
     server: Rc<ServerHandle>,
-    link: Option<ServerLink>,
+    link: Option<ServerConnection>,
     unread: Option<u64>,
     /// Whether it tries the server after a refusal, until the server's word.
     trial: Option<bool>,
 }
 
-impl ServerFlight {
+impl InFlightRequest {
     /// Counts a request with the shared `parts` at the chosen server, from
     /// before there is a connection until the flight is dropped.
     pub fn begin(chosen: &ChosenServer, parts: &[PartTokens], now: Duration) -> Self {
@@ -101,7 +101,7 @@
     }
 
     /// Takes the connection that the request uses.
-    pub fn use_link(&mut self, link: ServerLink) -> &mut ServerLink {
+    pub fn use_link(&mut self, link: ServerConnection) -> &mut ServerConnection {
         self.link.insert(link)
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// The connection.
-    pub fn link(&mut self) -> Option<&mut ServerLink> {
+    pub fn link(&mut self) -> Option<&mut ServerConnection> {
         self.link.as_mut()
     }
 
@@ -160,7 +160,7 @@
 /// Time for a connection to become ready for the next request.
 const LINK_REST: Duration = Duration::from_millis(500);
 
-impl Drop for ServerFlight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.note_read();
         if let Some(trial) = self.trial {
@@ -202,7 +202,7 @@
 
 /// Follows an answer that passes to a caller.
 #[derive(Debug)]
-pub struct FlightWatch {
+pub struct ResponseTracker {
     /// The request's number, for the log.
     pub id: String,
     /// What may be repeated.
@@ -212,9 +212,9 @@
     /// When its last event passed.
     pub heard: Option<Instant>,
     /// Where its times are counted.
-    pub measures: Rc<TrafficMeasures>,
+    pub measures: Rc<TrafficMetrics>,
     /// Where it runs.
-    pub flight: ServerFlight,
+    pub flight: InFlightRequest,
     /// What it costs.
     pub charge: Option<Rc<RequestCharge>>,
     /// Output tokens in an event.
@@ -229,7 +229,7 @@
     pub suspect: Option<RequestPrint>,
 }
 
-impl FlightWatch {
+impl ResponseTracker {
     /// `events` whole events passed.
     pub fn passed(&mut self, events: u64) {
         if events == 0 {
@@ -238,8 +238,10 @@
         self.exposure.note_event();
         let now = Instant::now();
         match self.heard.replace(now) {
-            None => self.measures.first_event(self.kind, now - self.arrived),
-            Some(before) => self.measures.event_gap(now - before),
+            None => self
+                .measures
+                .record_first_event(self.kind, now - self.arrived),
+            Some(before) => self.measures.record_event_gap(now - before),
         }
         self.flight.note_read();
         self.flight.server().note_heard();
@@ -250,7 +252,7 @@
 
     fn count_end(&self, outcome: RequestOutcome) {
         self.measures
-            .ended(Some(self.kind), outcome, self.arrived.elapsed());
+            .record_request_end(Some(self.kind), outcome, self.arrived.elapsed());
     }
 
     /// The caller left before the answer was whole.
@@ -275,7 +277,7 @@
     }
 
     /// The answer ended; it was whole unless there is a fault.
-    pub fn ended(&mut self, fault: Option<RelayFault>) {
+    pub fn ended(&mut self, fault: Option<BodyFault>) {
         self.count_end(if fault.is_none() {
             RequestOutcome::Passed
         } else {
@@ -301,10 +303,10 @@
                 self.flight.keep_link();
             }
             Some(fault) => {
-                if matches!(fault, RelayFault::Broken | RelayFault::Endless) {
+                if matches!(fault, BodyFault::Broken | BodyFault::Endless) {
                     server.note_failed();
                 }
-                if fault == RelayFault::Broken {
+                if fault == BodyFault::Broken {
                     self.exposure.note_broken(server);
                 }
                 event!(
--- a/crates/hibiscus-traffic/src/lib.rs
+++ b/crates/hibiscus-traffic/src/lib.rs
@@ -4,10 +4,10 @@
 //! The parts meet as follows:
 //!
 //! - [`port`] accepts callers' connections, [`callers`] bounds them, and each
-//!   request goes to [`life`], which admits it, places it, forwards it and answers.
+//!   request goes to [`handler`], which admits it, places it, forwards it and answers.
 //! - [`servers`] holds the backend servers that [`roster`] knows, with their
 //!   kept connections ([`connect`], [`bounded`], [`idle`]) and what their
-//!   processes have said of new requests ([`standings`]); [`relay`] passes an
+//!   processes have said of new requests ([`standings`]); [`response_body`] passes an
 //!   answer's bytes on and checks that it is whole.
 //! - [`endings`] finds out whether a server that broke a request's connection
 //!   has ended, and [`suspects`] what follows for those under which servers do.
@@ -15,7 +15,7 @@
 //!   that [`holders`] names; [`retries`] holds what may be sent twice,
 //!   [`directory`] which instances callers are told of; [`members`] has them
 //!   watched ([`probe`]) and passes on what watchers find.
-//! - [`measures`] counts what passes and [`tally`] the work for the fleet, for
+//! - [`traffic_metrics`] counts what passes and [`tally`] the work for the fleet, for
 //!   the operators' metrics; [`machine`] tells what the process uses.
 //! - [`shares`] divides the machine's memory among them; [`relief`] says what to
 //!   give up as it runs out.
@@ -25,25 +25,22 @@
 //! - [`updates`] is the ring by which the other duties' threads tell news;
 //!   everything is decided on this thread, so nothing here is locked.
 //!
-//! How requests are spelled is a [`dialect::RequestDialect`]; the life cycle
+//! How requests are spelled is a [`wire_format::WireFormat`]; the life cycle
 //! knows no protocol beyond HTTP.
 
-pub mod answer;
 pub mod bounded;
 pub mod budgets;
 pub mod callers;
 pub mod change;
 pub mod clock;
 pub mod connect;
-pub mod dialect;
 pub mod directory;
 pub mod endings;
-pub mod flight;
+pub mod handler;
 pub mod holders;
 pub mod idle;
-pub mod life;
+pub mod in_flight;
 pub mod machine;
-pub mod measures;
 pub mod members;
 pub mod model;
 pub mod peers;
@@ -51,9 +48,10 @@
 pub mod pressure;
 pub mod probe;
 pub mod recovery;
-pub mod relay;
 pub mod relays;
 pub mod relief;
+pub mod response;
+pub mod response_body;
 pub mod retries;
 pub mod roster;
 pub mod send;
@@ -67,4 +65,6 @@
 pub mod suspects;
 pub mod table;
 pub mod tally;
+pub mod traffic_metrics;
 pub mod updates;
+pub mod wire_format;
--- a/crates/hibiscus-traffic/src/members.rs
+++ b/crates/hibiscus-traffic/src/members.rs
@@ -15,11 +15,11 @@
 use hibiscus_types::IncarnationId;
 use tokio::time::Instant;
 
-use crate::dialect::RequestDialect;
 use crate::model::InstanceEntry;
 use crate::peers;
 use crate::probe;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Least time between two messages of news to a contact: findings that come
 /// together go together, and the loss of many machines costs no more.
@@ -31,12 +31,12 @@
 type RunningWatches = Rc<RefCell<BTreeSet<IncarnationId>>>;
 
 /// Watches others at `path` for as long as the runtime runs.
-pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>, path: &'static str) {
+pub async fn keep<D: WireFormat>(state: Rc<TrafficState<D>>, path: &'static str) {
     let running = RunningWatches::default();
     let mut next_news = Instant::now();
     let mut next_exchange = Instant::now() + EXCHANGE_PAUSE;
     loop {
-        let has_news = state.directory.borrow().has_news();
+        let has_news = state.directory.borrow().has_updates();
         let due = if has_news { next_news } else { next_exchange };
         tokio::select! {
             () = state.members.notified() => {}
@@ -45,7 +45,7 @@
         start_watches(&state, &running, path);
         let now = Instant::now();
         if now >= next_news {
-            let news = state.directory.borrow_mut().next_news();
+            let news = state.directory.borrow_mut().next_update();
             if let Some(message) = news {
                 tell_contacts(&state, &message);
                 next_news = now + NEWS_PAUSE;
@@ -59,13 +59,13 @@
 }
 
 /// Starts to ask those that this instance is to watch and does not yet.
-fn start_watches<D: RequestDialect>(
+fn start_watches<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     running: &RunningWatches,
     path: &'static str,
 ) {
     let directory = state.directory.borrow();
-    for entry in directory.watched() {
+    for entry in directory.monitored() {
         if !running.borrow_mut().insert(entry.incarnation) {
             continue;
         }
@@ -75,7 +75,7 @@
 }
 
 /// Asks one process for as long as this instance is to watch it.
-async fn watch<D: RequestDialect>(
+async fn watch<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     entry: InstanceEntry,
     path: &'static str,
@@ -89,16 +89,16 @@
 }
 
 /// Passes news on to all contacts.
-fn tell_contacts<D: RequestDialect>(state: &Rc<TrafficState<D>>, message: &SilenceMessage) {
-    for contact in state.directory.borrow().contacts() {
+fn tell_contacts<D: WireFormat>(state: &Rc<TrafficState<D>>, message: &SilenceMessage) {
+    for contact in state.directory.borrow().contact_addresses() {
         tokio::task::spawn_local(tell(Rc::clone(state), contact, message.clone()));
     }
 }
 
 /// Repairs what one of the contacts and this instance missed.
-fn exchange<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
+fn exchange<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     let mut directory = state.directory.borrow_mut();
-    let contact = fastrand::choice(directory.contacts());
+    let contact = fastrand::choice(directory.contact_addresses());
     let Some(contact) = contact.filter(|_contact| directory.is_large()) else {
         return;
     };
@@ -107,7 +107,7 @@
 }
 
 /// Tells one instance, and takes its answer over.
-async fn tell<D: RequestDialect>(
+async fn tell<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
     message: SilenceMessage,
@@ -119,6 +119,9 @@
     let Some(answer) = peers::tell_silence(&link, contact, message).await else {
         return;
     };
-    state.directory.borrow_mut().take_answer(answer, joining);
+    state
+        .directory
+        .borrow_mut()
+        .handle_response(answer, joining);
     state.members.notify_one();
 }
--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -29,10 +29,10 @@
 use tokio::sync::mpsc;
 
 use crate::budgets::TokenRefusal;
-use crate::dialect::RequestDialect;
 use crate::state::TrafficState;
 use crate::supply;
 use crate::suspects::EndingNews;
+use crate::wire_format::WireFormat;
 
 /// Calls that wait to be answered.
 pub const RING_CAPACITY: usize = 256;
@@ -109,7 +109,7 @@
 }
 
 /// Answers other instances for as long as the runtime runs.
-pub async fn answer_calls<D: RequestDialect>(
+pub async fn answer_calls<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     mut calls: mpsc::Receiver<PinnedCall>,
 ) {
@@ -132,7 +132,7 @@
 }
 
 /// Answers one call; a draw may take some time.
-async fn answer_call<D: RequestDialect>(
+async fn answer_call<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     question: PeerQuestion,
     call: PinnedCall,
@@ -157,10 +157,7 @@
 }
 
 /// Decides on one question.
-async fn answer<D: RequestDialect>(
-    state: &Rc<TrafficState<D>>,
-    question: &PeerQuestion,
-) -> PeerAnswer {
+async fn answer<D: WireFormat>(state: &Rc<TrafficState<D>>, question: &PeerQuestion) -> PeerAnswer {
     match question {
         PeerQuestion::Tokens { .. } => PeerAnswer::Tokens(TokenCount::ZERO),
         PeerQuestion::Process => {
@@ -187,7 +184,7 @@
         }
         PeerQuestion::Silence(message) => {
             let mut directory = state.directory.borrow_mut();
-            let answer = directory.take_message(message.clone());
+            let answer = directory.handle_message(message.clone());
             state.members.notify_one();
             PeerAnswer::Silence(answer)
         }
--- a/crates/hibiscus-traffic/src/port.rs
+++ b/crates/hibiscus-traffic/src/port.rs
@@ -22,11 +22,11 @@
 
 use crate::callers::CallerConnection;
 use crate::connect;
-use crate::dialect::RequestDialect;
-use crate::life;
-use crate::relay::AnswerBody;
+use crate::handler;
+use crate::response_body::ResponseBody;
 use crate::state::TrafficState;
 use crate::tally::CloseReason;
+use crate::wire_format::WireFormat;
 
 /// Time for a head while no configuration is known.
 const FIRST_IDLE_LIMIT: Duration = Duration::from_secs(15);
@@ -53,7 +53,7 @@
 
 /// Accepts callers' connections until the port is closed at the end of a
 /// planned stop. What the system has accepted by then is served too.
-pub async fn serve_callers<D: RequestDialect>(listener: TcpListener, state: Rc<TrafficState<D>>) {
+pub async fn serve_callers<D: WireFormat>(listener: TcpListener, state: Rc<TrafficState<D>>) {
     loop {
         let accepted = tokio::select! {
             biased;
@@ -77,10 +77,13 @@
 }
 
 /// Answers calls about this instance with `answer`.
-pub async fn serve_calls<D, F>(listener: TcpListener, state: Rc<TrafficState<D>>, answer: F)
-where
-    D: RequestDialect,
-    F: Fn(&TrafficState<D>, &Request<Incoming>) -> Response<AnswerBody> + Clone + 'static,
+pub async fn serve_status_requests<D, F>(
+    listener: TcpListener,
+    state: Rc<TrafficState<D>>,
+    answer: F,
+) where
+    D: WireFormat,
+    F: Fn(&TrafficState<D>, &Request<Incoming>) -> Response<ResponseBody> + Clone + 'static,
 {
     loop {
         let Some((stream, from)) = accept(&listener).await else {
@@ -120,7 +123,7 @@
 }
 
 /// Serves the requests of one connection.
-async fn serve_caller<D: RequestDialect>(
+async fn serve_caller<D: WireFormat>(
     stream: TcpStream,
     caller: CallerConnection,
     state: Rc<TrafficState<D>>,
@@ -131,7 +134,7 @@
     let service = service_fn(|request: Request<Incoming>| {
         let state = Rc::clone(&state);
         let progress = caller.begin_request();
-        async move { Ok::<_, Infallible>(life::serve(state, request, progress).await) }
+        async move { Ok::<_, Infallible>(handler::serve(state, request, progress).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/hibiscus-traffic/src/pressure.rs
+++ b/crates/hibiscus-traffic/src/pressure.rs
@@ -12,11 +12,11 @@
 
 use crate::machine::LevelWatch;
 use crate::machine::MachineLimits;
-use crate::measures::TrafficLevels;
 use crate::tally::DrawOutcome;
 use crate::tally::QuestionOutcome;
 use crate::tally::QuestionSubject;
 use crate::tally::WorkTally;
+use crate::traffic_metrics::TrafficGauges;
 
 /// Part of the memory at which it nears the limit.
 const MEMORY_HIGH: f64 = 0.75;
@@ -62,7 +62,7 @@
     }
 
     /// Takes the present levels; whether they were told.
-    pub fn note_levels(&self, levels: &TrafficLevels, tally: &WorkTally) -> bool {
+    pub fn note_levels(&self, levels: &TrafficGauges, tally: &WorkTally) -> bool {
         let memory = self.limits.memory_bytes.max(1) as f64;
         let part = levels.used.resident_bytes as f64 / memory;
         if self.memory.borrow_mut().rises(part) {
@@ -88,7 +88,7 @@
         is_due
     }
 
-    fn tell(&self, levels: &TrafficLevels, tally: &WorkTally) {
+    fn tell(&self, levels: &TrafficGauges, tally: &WorkTally) {
         let readiness = |outcome| tally.asked(QuestionSubject::Readiness, outcome);
         let link = |outcome| tally.asked(QuestionSubject::Link, outcome);
         event!(
--- a/crates/hibiscus-traffic/src/probe.rs
+++ b/crates/hibiscus-traffic/src/probe.rs
@@ -13,14 +13,14 @@
 use http_body_util::BodyExt;
 use http_body_util::Full;
 
-use crate::connect::ServerLink;
-use crate::dialect::RequestDialect;
-use crate::idle::IdleLink;
+use crate::connect::ServerConnection;
+use crate::idle::IdleConnection;
 use crate::model::InstanceEntry;
 use crate::state::TrafficState;
 use crate::tally::QuestionOutcome;
 use crate::tally::QuestionSubject;
 use crate::updates::TrafficUpdate;
+use crate::wire_format::WireFormat;
 
 /// Time between two questions: callers are told of a death within a second.
 const INTERVAL: Duration = Duration::from_millis(400);
@@ -35,14 +35,14 @@
 
 /// Asks the process that announced `entry` at `path` for as long as this
 /// instance is to watch it.
-pub async fn watch<D: RequestDialect>(
+pub async fn watch<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     entry: InstanceEntry,
     path: &'static str,
 ) {
     let mut link = None;
     let mut last = None;
-    while state.directory.borrow().watches(&entry) {
+    while state.directory.borrow().monitors(&entry) {
         let asked = ask(&mut link, &entry, path);
         let answer = tokio::time::timeout(ANSWER_LIMIT, asked).await;
         let serves = matches!(answer, Ok(Some(StatusCode::OK)));
@@ -71,7 +71,7 @@
 }
 
 /// Waits until the next question is due.
-async fn rest<D: RequestDialect>(state: &TrafficState<D>, link: Option<&ServerLink>) {
+async fn rest<D: WireFormat>(state: &TrafficState<D>, link: Option<&ServerConnection>) {
     if !state.directory.borrow().is_large() {
         tokio::time::sleep(INTERVAL).await;
         return;
@@ -87,12 +87,12 @@
 
 /// One question over the kept connection, or over a new one.
 async fn ask(
-    link: &mut Option<ServerLink>,
+    link: &mut Option<ServerConnection>,
     entry: &InstanceEntry,
     path: &'static str,
 ) -> Option<StatusCode> {
     if link.as_ref().is_none_or(|link| !link.is_usable()) {
-        *link = ServerLink::open(entry.readiness).await.ok();
+        *link = ServerConnection::open(entry.readiness).await.ok();
     }
     let sender = link.as_mut()?.sender();
     sender.ready().await.ok()?;
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -24,9 +24,9 @@
 use hibiscus_types::UnixMillis;
 
 use crate::budgets::RecoveryPhase;
-use crate::dialect::RequestDialect;
 use crate::peers;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Instances asked, so that of five readings three may be wrong; each new
 /// connection costs 7 ms of a core.
@@ -44,7 +44,7 @@
 
 /// Waits until the account stream was read, and closes by agreement what was
 /// left without a proof.
-pub async fn close_unproven<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn close_unproven<D: WireFormat>(state: Rc<TrafficState<D>>) {
     while state.budgets.recovery() == RecoveryPhase::Reading {
         tokio::time::sleep(ROUND_PAUSE).await;
     }
@@ -63,7 +63,7 @@
 
 /// Closes the accounts of processes that ended on other machines for as long as
 /// the runtime runs.
-pub async fn close_strangers<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn close_strangers<D: WireFormat>(state: Rc<TrafficState<D>>) {
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
         tokio::time::sleep(STRANGERS_PAUSE).await;
@@ -89,7 +89,7 @@
 }
 
 /// Closes what processes that ended on `machine` left.
-async fn close_stranger<D: RequestDialect>(state: &TrafficState<D>, machine: &InstanceName) {
+async fn close_stranger<D: WireFormat>(state: &TrafficState<D>, machine: &InstanceName) {
     let link = state.link.borrow().clone();
     let peer = state
         .directory
@@ -128,7 +128,7 @@
 /// Times of day at `began`, when a process had the ports of its machine, by the
 /// clocks of this machine and of others. Each is later than the process before
 /// ended: an answer is made after it was asked for.
-async fn gather_readings<D: RequestDialect>(state: &TrafficState<D>, began: Duration) -> Vec<u64> {
+async fn gather_readings<D: WireFormat>(state: &TrafficState<D>, began: Duration) -> Vec<u64> {
     let begun = state.now();
     let own = at_start(UnixMillis::now().get(), begun.saturating_sub(began));
     let mut answers: BTreeMap<SocketAddr, u64> = BTreeMap::new();
@@ -146,7 +146,7 @@
 }
 
 /// Asks the instances that have not answered yet.
-async fn ask_others<D: RequestDialect>(
+async fn ask_others<D: WireFormat>(
     state: &TrafficState<D>,
     began: Duration,
     answers: &mut BTreeMap<SocketAddr, u64>,
@@ -156,7 +156,7 @@
     };
     // There are links to the other holders; a new one costs a handshake.
     let mut holders = state.fellow_holders();
-    let mut others = state.directory.borrow().peers();
+    let mut others = state.directory.borrow().peer_addresses();
     others.retain(|other| !holders.contains(other));
     fastrand::shuffle(&mut others);
     holders.append(&mut others);
--- a/crates/hibiscus-traffic/src/answer.rs
+++ b/crates/hibiscus-traffic/src/response.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use http::header;
 
-use crate::dialect::RequestDialect;
-use crate::relay::AnswerBody;
+use crate::response_body::ResponseBody;
+use crate::wire_format::WireFormat;
 
 /// Part of the time until there is a chance over which returns are spread.
 const RETURN_SPREAD: f64 = 0.4;
@@ -20,7 +20,7 @@
 
 /// Why a request gets an answer of this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum OwnReason {
+pub enum LocalReason {
     /// No configuration is known yet.
     NoConfig,
     /// The head cannot be understood.
@@ -56,7 +56,7 @@
     TimedOut,
 }
 
-impl OwnReason {
+impl LocalReason {
     /// The status that tells it. Only reasons before the first byte to a
     /// server, or after a server's own proof, map to 503.
     pub fn status(self) -> StatusCode {
@@ -118,16 +118,16 @@
 
 /// A refusal of this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnRefusal {
+pub struct LocalRefusal {
     /// Why.
-    pub reason: OwnReason,
+    pub reason: LocalReason,
     /// When there is a chance again, if that is known; else the usual time of
     /// the reason.
     pub chance: Option<Duration>,
 }
 
-impl From<OwnReason> for OwnRefusal {
-    fn from(reason: OwnReason) -> Self {
+impl From<LocalReason> for LocalRefusal {
+    fn from(reason: LocalReason) -> Self {
         Self {
             reason,
             chance: None,
@@ -135,7 +135,7 @@
     }
 }
 
-impl OwnRefusal {
+impl LocalRefusal {
     /// When the caller may try again: not before there is a chance, and not
     /// all callers at the same moment.
     pub fn retry_after(&self) -> Option<Duration> {
@@ -147,48 +147,48 @@
 }
 
 /// The answer that tells `refusal` for the request `id`.
-pub fn own_answer<D: RequestDialect>(
+pub fn local_response<D: WireFormat>(
     dialect: &D,
-    refusal: OwnRefusal,
+    refusal: LocalRefusal,
     id: &str,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let reason = refusal.reason;
     let body = Bytes::from_static(reason.word().as_bytes());
-    let mut answer = Response::new(AnswerBody::whole(body));
+    let mut answer = Response::new(ResponseBody::whole(body));
     *answer.status_mut() = reason.status();
     let headers = answer.headers_mut();
-    dialect.set_answer_id(id, headers);
+    dialect.set_response_id(id, headers);
     if let Some(after) = refusal.retry_after() {
         let after = format!("{:.3}", after.as_secs_f64());
         if let Ok(after) = HeaderValue::from_str(&after) {
             headers.insert(header::RETRY_AFTER, after);
         }
     }
-    if reason == OwnReason::Stopping {
+    if reason == LocalReason::Stopping {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     answer
 }
 
 /// An answer without a body.
-pub fn status_answer(status: StatusCode) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::Whole(None));
+pub fn status_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::Whole(None));
     *answer.status_mut() = status;
     answer
 }
 
 /// An answer with a JSON body.
-pub fn json_answer(body: Vec<u8>) -> Response<AnswerBody> {
+pub fn json_response(body: Vec<u8>) -> Response<ResponseBody> {
     typed_answer(Bytes::from(body), "application/json")
 }
 
 /// An answer with a text body.
-pub fn text_answer(body: String) -> Response<AnswerBody> {
+pub fn text_response(body: String) -> Response<ResponseBody> {
     typed_answer(Bytes::from(body), "text/plain; version=0.0.4")
 }
 
-fn typed_answer(body: Bytes, kind: &'static str) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(body));
+fn typed_answer(body: Bytes, kind: &'static str) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(body));
     let kind = HeaderValue::from_static(kind);
     answer.headers_mut().insert(header::CONTENT_TYPE, kind);
     answer
--- a/crates/hibiscus-traffic/src/relay.rs
+++ b/crates/hibiscus-traffic/src/response_body.rs
@@ -15,8 +15,8 @@
 use tokio::time::Instant;
 use tokio::time::Sleep;
 
-use crate::flight::FlightWatch;
-use crate::stream::EventFollower;
+use crate::in_flight::ResponseTracker;
+use crate::stream::EventParser;
 
 /// Time after the deadline within which what has arrived is passed on: an
 /// answer that is ready is delivered, also when it is late.
@@ -26,7 +26,7 @@
 
 /// The answer breaks off: the caller must see that it is not whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RelayFault {
+pub enum BodyFault {
     /// The server broke off.
     Broken,
     /// An event's number does not follow the one before.
@@ -37,7 +37,7 @@
     Endless,
 }
 
-impl fmt::Display for RelayFault {
+impl fmt::Display for BodyFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Broken => "the server broke the answer off",
@@ -48,39 +48,44 @@
     }
 }
 
-impl std::error::Error for RelayFault {}
+impl std::error::Error for BodyFault {}
 
 /// A stream on its way from a server to a caller. Dropping it before its end
 /// drops the server's connection.
-pub struct StreamRelay {
+pub struct StreamForwarder {
     body: Incoming,
-    follower: EventFollower,
+    follower: EventParser,
     deadline: Pin<Box<Sleep>>,
-    watcher: FlightWatch,
+    watcher: ResponseTracker,
     ended: bool,
 }
 
-impl StreamRelay {
+impl StreamForwarder {
     /// Relays `body`, whose last event before it was `after`, until
     /// `deadline`.
-    pub fn new(body: Incoming, after: Option<u64>, deadline: Sleep, watcher: FlightWatch) -> Self {
+    pub fn new(
+        body: Incoming,
+        after: Option<u64>,
+        deadline: Sleep,
+        watcher: ResponseTracker,
+    ) -> Self {
         Self {
             body,
-            follower: EventFollower::after(after),
+            follower: EventParser::after(after),
             deadline: Box::pin(deadline),
             watcher,
             ended: false,
         }
     }
 
-    fn end(&mut self, fault: Option<RelayFault>) {
+    fn end(&mut self, fault: Option<BodyFault>) {
         if !self.ended {
             self.ended = true;
             self.watcher.ended(fault);
         }
     }
 
-    fn fail(&mut self, fault: RelayFault) -> Poll<Option<Result<Frame<Bytes>, RelayFault>>> {
+    fn fail(&mut self, fault: BodyFault) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
         self.end(Some(fault));
         Poll::Ready(Some(Err(fault)))
     }
@@ -88,16 +93,16 @@
     fn poll_next(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, RelayFault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
         let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(context) else {
             if self.deadline.as_mut().poll(context).is_ready() {
-                return self.fail(RelayFault::TimedOut);
+                return self.fail(BodyFault::TimedOut);
             }
             return Poll::Pending;
         };
         // A body that always has bytes never comes to the timer.
         if Instant::now() > self.deadline.deadline() + READY_TIME {
-            return self.fail(RelayFault::TimedOut);
+            return self.fail(BodyFault::TimedOut);
         }
         match frame {
             Some(Ok(frame)) => {
@@ -106,25 +111,25 @@
                 };
                 let events = self.follower.take(data);
                 if self.follower.is_disordered() {
-                    return self.fail(RelayFault::Disordered);
+                    return self.fail(BodyFault::Disordered);
                 }
                 if self.follower.bytes_since_event() > EVENT_LIMIT {
-                    return self.fail(RelayFault::Endless);
+                    return self.fail(BodyFault::Endless);
                 }
                 self.watcher.passed(events);
                 Poll::Ready(Some(Ok(frame)))
             }
-            Some(Err(_broken)) => self.fail(RelayFault::Broken),
+            Some(Err(_broken)) => self.fail(BodyFault::Broken),
             None if self.follower.is_at_boundary() => {
                 self.end(None);
                 Poll::Ready(None)
             }
-            None => self.fail(RelayFault::Broken),
+            None => self.fail(BodyFault::Broken),
         }
     }
 }
 
-impl Drop for StreamRelay {
+impl Drop for StreamForwarder {
     fn drop(&mut self) {
         if !self.ended {
             self.watcher.left();
@@ -133,28 +138,28 @@
 }
 
 /// The body of an answer to a caller.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All bytes are there.
     Whole(Option<Bytes>),
     /// A stream.
-    Stream(Box<StreamRelay>),
+    Stream(Box<StreamForwarder>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body of `bytes`.
     pub fn whole(bytes: Bytes) -> Self {
         Self::Whole(Some(bytes))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = RelayFault;
+    type Error = BodyFault;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, RelayFault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Stream(relay) => relay.poll_next(context),
--- a/crates/hibiscus-traffic/src/send.rs
+++ b/crates/hibiscus-traffic/src/send.rs
@@ -18,12 +18,12 @@
 use metrics::counter;
 
 use crate::connect::ConnectFault;
-use crate::connect::ServerLink;
-use crate::dialect::AnswerSigns;
-use crate::dialect::RequestDialect;
-use crate::flight::ServerFlight;
-use crate::idle::IdleLink;
+use crate::connect::ServerConnection;
+use crate::idle::IdleConnection;
+use crate::in_flight::InFlightRequest;
 use crate::servers::ServerHandle;
+use crate::wire_format::ResponseHeaders;
+use crate::wire_format::WireFormat;
 
 /// New connections to servers for requests, by outcome.
 pub const SERVER_CONNECTIONS: &str = "hibiscus_server_connections_total";
@@ -36,13 +36,13 @@
 
 /// What a server said first.
 #[derive(Debug)]
-pub struct ServerAnswer {
+pub struct ServerResponse {
     /// Head and body.
     pub answer: Response<Incoming>,
     /// What the head says.
-    pub signs: AnswerSigns,
+    pub signs: ResponseHeaders,
     /// The request at the server.
-    pub flight: ServerFlight,
+    pub flight: InFlightRequest,
 }
 
 /// Why a request that was sent got no answer that is of use.
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub enum SendOutcome {
     /// The server answered for itself; it may have run the request.
-    Answered(Box<ServerAnswer>),
+    Answered(Box<ServerResponse>),
     /// No byte of the request reached a server.
     NotSent(ConnectFault),
     /// The server proved that it did not run the request.
@@ -136,14 +136,14 @@
     /// When waiting for the head of the answer ends.
     pub until: Instant,
     /// Whether another server may run it while this one may still do.
-    pub leaves_silent: bool,
+    pub abandon_if_silent: bool,
 }
 
 /// Sends `outgoing` to the server of `flight`. One that is silent for long is
 /// given up only while `has_other` says that the request can go on elsewhere.
-pub async fn send<D: RequestDialect>(
+pub async fn send<D: WireFormat>(
     dialect: &D,
-    mut flight: ServerFlight,
+    mut flight: InFlightRequest,
     outgoing: &OutgoingRequest<'_>,
     has_other: impl Fn() -> bool,
 ) -> SendReport {
@@ -173,17 +173,17 @@
         }
     };
     server.note_heard();
-    let signs = dialect.answer_signs(answer.headers());
+    let signs = dialect.parse_response_headers(answer.headers());
     // Another server than the one meant says nothing of that one.
     let meant = answer.status() != StatusCode::MISDIRECTED_REQUEST;
-    let leaving = signs.leaving && meant;
+    let leaving = signs.draining && meant;
     let outcome = judge(answer, signs, flight, outgoing.id);
     SendReport { outcome, leaving }
 }
 
 /// Sends on `link` and waits for the head of the answer.
 async fn wait_for_head(
-    link: &mut ServerLink,
+    link: &mut ServerConnection,
     server: &ServerHandle,
     outgoing: &OutgoingRequest<'_>,
     has_other: impl Fn() -> bool,
@@ -193,7 +193,7 @@
     let mut waited = pin!(exchange(link.sender(), outgoing));
     loop {
         let left = outgoing.until.saturating_duration_since(Instant::now());
-        let step = if outgoing.leaves_silent {
+        let step = if outgoing.abandon_if_silent {
             left.min(SILENCE_STEP)
         } else {
             left
@@ -226,8 +226,8 @@
 /// Decides what the head of an answer proves.
 fn judge(
     answer: Response<Incoming>,
-    signs: AnswerSigns,
-    mut flight: ServerFlight,
+    signs: ResponseHeaders,
+    mut flight: InFlightRequest,
     id: &str,
 ) -> SendOutcome {
     let server = Rc::clone(flight.server());
@@ -263,7 +263,7 @@
     {
         link.set_idle_limit(limit);
     }
-    SendOutcome::Answered(Box::new(ServerAnswer {
+    SendOutcome::Answered(Box::new(ServerResponse {
         answer,
         signs,
         flight,
@@ -317,7 +317,7 @@
 }
 
 /// A kept connection that has not ended by what has come on it so far.
-async fn take_kept(server: &ServerHandle) -> Option<ServerLink> {
+async fn take_kept(server: &ServerHandle) -> Option<ServerConnection> {
     while let Some(link) = server.take_idle() {
         // What has come for it, be it its end, is read before this goes on.
         tokio::task::yield_now().await;
@@ -331,12 +331,12 @@
 /// The `kept` connection, or a new one.
 async fn obtain_link(
     server: &ServerHandle,
-    kept: Option<ServerLink>,
-) -> Result<ServerLink, ConnectFault> {
+    kept: Option<ServerConnection>,
+) -> Result<ServerConnection, ConnectFault> {
     if let Some(link) = kept {
         return Ok(link);
     }
-    let opened = ServerLink::open(server.entry.address).await;
+    let opened = ServerConnection::open(server.entry.address).await;
     let outcome = match opened {
         Ok(_) => "opened",
         Err(ConnectFault::Closed) => "closed",
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -23,9 +23,9 @@
 use hibiscus_types::ServiceName;
 use metrics::counter;
 
-use crate::connect::ServerLink;
-use crate::idle::IdleLinks;
-use crate::idle::IdleTicket;
+use crate::connect::ServerConnection;
+use crate::idle::IdleConnectionId;
+use crate::idle::IdleConnections;
 use crate::model::ServerEntry;
 use crate::model::ServerLoadReport;
 use crate::model::ServerPhase;
@@ -75,9 +75,9 @@
     order: f64,
     book: RefCell<PrefillBook>,
     /// Its connections that are kept, the one used last at the end.
-    idle: RefCell<Vec<IdleTicket>>,
+    idle: RefCell<Vec<IdleConnectionId>>,
     idle_limit: Cell<usize>,
-    idle_links: Rc<IdleLinks<ServerLink>>,
+    idle_links: Rc<IdleConnections<ServerConnection>>,
 }
 
 impl ServerHandle {
@@ -85,7 +85,7 @@
         entry: ServerEntry,
         availability: SharedAvailability,
         own: &InstanceName,
-        idle_links: &Rc<IdleLinks<ServerLink>>,
+        idle_links: &Rc<IdleConnections<ServerConnection>>,
     ) -> Self {
         Self {
             order: placement::order_of(own.as_str(), entry.name.as_str()),
@@ -193,7 +193,7 @@
     }
 
     /// An idle connection, the one used last first.
-    pub fn take_idle(&self) -> Option<ServerLink> {
+    pub fn take_idle(&self) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(ticket) = idle.pop() {
             if let Some(link) = self.idle_links.take(ticket) {
@@ -210,7 +210,7 @@
     }
 
     /// Keeps a connection for later requests.
-    pub fn park(&self, mut link: ServerLink) {
+    pub fn park(&self, mut link: ServerConnection) {
         if !self.is_serving() {
             return;
         }
@@ -302,7 +302,7 @@
 #[derive(Debug)]
 pub struct ServerPool {
     own: InstanceName,
-    idle_links: Rc<IdleLinks<ServerLink>>,
+    idle_links: Rc<IdleConnections<ServerConnection>>,
     standings: ServerStandings,
     by_name: HashMap<ServerName, Rc<ServerHandle>>,
     by_service: HashMap<ServiceName, Vec<Rc<ServerHandle>>>,
@@ -327,7 +327,7 @@
     pub fn new(own: InstanceName, idle: usize) -> Self {
         Self {
             own,
-            idle_links: Rc::new(IdleLinks::new(idle)),
+            idle_links: Rc::new(IdleConnections::new(idle)),
             standings: ServerStandings::default(),
             by_name: HashMap::new(),
             by_service: HashMap::new(),
@@ -335,7 +335,7 @@
     }
 
     /// The idle connections to all servers.
-    pub fn idle_links(&self) -> &IdleLinks<ServerLink> {
+    pub fn idle_links(&self) -> &IdleConnections<ServerConnection> {
         &self.idle_links
     }
 
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -21,16 +21,12 @@
 use crate::budgets::BudgetDesk;
 use crate::budgets::BudgetHandle;
 use crate::callers::CallerRegistry;
-use crate::dialect::RequestDialect;
 use crate::directory::InstanceDirectory;
 use crate::endings::EndingWatch;
 use crate::holders::HolderRefusals;
 use crate::holders::HolderTable;
 use crate::machine::MachineLimits;
 use crate::machine::MachineUse;
-use crate::measures::CONFIG_VERSIONS;
-use crate::measures::TrafficLevels;
-use crate::measures::TrafficMeasures;
 use crate::model::FleetConfig;
 use crate::model::InstanceEntry;
 use crate::pressure::PressureWatch;
@@ -48,8 +44,12 @@
 use crate::suspects::SuspectDesk;
 use crate::table::RouteTable;
 use crate::tally::WorkTally;
+use crate::traffic_metrics::CONFIG_VERSIONS;
+use crate::traffic_metrics::TrafficGauges;
+use crate::traffic_metrics::TrafficMetrics;
 use crate::updates::ConfigArrival;
 use crate::updates::TrafficUpdate;
+use crate::wire_format::WireFormat;
 
 /// Time for a head while no configuration is known: the usual limit.
 const FIRST_HEAD_LIMIT: Duration = Duration::from_secs(3);
@@ -110,7 +110,7 @@
     /// Counts of the work for the fleet.
     pub tally: Rc<WorkTally>,
     /// Counters and histograms.
-    pub measures: Rc<TrafficMeasures>,
+    pub measures: Rc<TrafficMetrics>,
     /// Finds out which servers ended.
     pub endings: Rc<EndingWatch>,
     /// The requests under which servers ended.
@@ -139,7 +139,7 @@
     gauge: RefCell<PressureGauge>,
 }
 
-impl<D: RequestDialect> TrafficState<D> {
+impl<D: WireFormat> TrafficState<D> {
     /// State before any news.
     pub fn new(parts: TrafficParts<D>) -> Self {
         let own = parts.directory.own().name.clone();
@@ -380,7 +380,7 @@
         let pin = entry.pin;
         let newest = entry.clone();
         let _was_new = directory.announce(entry);
-        if directory.knows(&newest) {
+        if directory.is_current(&newest) {
             self.pins.insert(pin);
         }
         for pin in directory.take_replaced_pins() {
@@ -410,10 +410,10 @@
     }
 
     /// Ends callers' connections whose heads take too long.
-    pub fn end_slow_heads(&self) {
+    pub fn close_slow_heads(&self) {
         let limits = self.table().map(|table| table.config().limits);
         let limit = limits.map_or(FIRST_HEAD_LIMIT, |limits| limits.header_timeout);
-        let ended = self.callers.end_slow_heads(limit);
+        let ended = self.callers.close_slow_heads(limit);
         if ended > 0 {
             event!(
                 EventCode::SlowHeadsEnded,
@@ -428,7 +428,7 @@
         let Some(table) = self.table() else {
             return;
         };
-        let instances = self.directory.borrow().live();
+        let instances = self.directory.borrow().live_count();
         let servers = self.servers.borrow();
         for (service, most) in &table.config().connections {
             servers.set_idle_limit(service, servers::idle_share(*most, instances));
@@ -440,11 +440,11 @@
         let now = self.now();
         let directory = self.directory.borrow();
         let servers = self.servers.borrow();
-        let instances = directory.may_serve();
-        let levels = TrafficLevels {
+        let instances = directory.possibly_live_count();
+        let levels = TrafficGauges {
             in_progress: self.in_progress(),
             connections: self.callers.len(),
-            instances: directory.live(),
+            instances: directory.live_count(),
             config_version: self.table().map_or(0, |table| table.config().version),
             config_age: now.saturating_sub(self.table_since.get()),
             servers: servers.count(),
@@ -459,7 +459,7 @@
             accounts: self.budgets.accounts(),
             account_lag: self.budgets.lag(),
         };
-        levels.show();
+        levels.publish();
         self.tally.show();
         if self.pressure.note_levels(&levels, &self.tally) {
             self.budgets
@@ -469,7 +469,7 @@
 
     /// The thread's timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
-        self.measures.timer_late(delay);
+        self.measures.record_timer_delay(delay);
         self.pressure.note_lateness(delay);
     }
 
--- a/crates/hibiscus-traffic/src/state/holding.rs
+++ b/crates/hibiscus-traffic/src/state/holding.rs
@@ -8,11 +8,11 @@
 use hibiscus_types::BudgetName;
 
 use crate::budgets::BudgetRole;
-use crate::dialect::RequestDialect;
 use crate::directory::InstanceDirectory;
 use crate::holders::GroupHolders;
 use crate::holders::HOLDERS;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Time for instances that start together to announce themselves and to be
 /// found by each other: they start within 0.3 s, an append takes milliseconds.
@@ -30,7 +30,7 @@
     first: bool,
 }
 
-impl<D: RequestDialect> TrafficState<D> {
+impl<D: WireFormat> TrafficState<D> {
     /// What this instance does for `budget`. Before the other instances are
     /// known it draws for requests that wait only: a whole fleet that starts
     /// would else draw as if each instance were alone.
@@ -41,7 +41,7 @@
             HolderDuty::Waits
         } else if holders.own_rank.is_none() {
             HolderDuty::Relieved
-        } else if directory.reaches_most() || directory.may_serve() <= most {
+        } else if directory.reaches_majority() || directory.possibly_live_count() <= most {
             HolderDuty::Holds
         } else {
             HolderDuty::Waits
--- a/crates/hibiscus-traffic/src/stream.rs
+++ b/crates/hibiscus-traffic/src/stream.rs
@@ -8,7 +8,7 @@
 
 /// What was seen of a series of events.
 #[derive(Clone, Debug)]
-pub struct EventFollower {
+pub struct EventParser {
     line: Vec<u8>,
     /// Number in the event that is still incomplete.
     pending: Option<u64>,
@@ -20,7 +20,7 @@
     disordered: bool,
 }
 
-impl Default for EventFollower {
+impl Default for EventParser {
     fn default() -> Self {
         Self {
             line: Vec::with_capacity(KEPT_BYTES),
@@ -34,7 +34,7 @@
     }
 }
 
-impl EventFollower {
+impl EventParser {
     /// A series that goes on after the event `last`.
     pub fn after(last: Option<u64>) -> Self {
         Self {
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -21,13 +21,13 @@
 use tokio::task::JoinSet;
 
 use crate::budgets::TokenRefusal;
-use crate::dialect::RequestDialect;
 use crate::peers;
 use crate::peers::PeerAnswer;
 use crate::peers::PeerQuestion;
 use crate::state::TrafficState;
 use crate::tally::QuestionOutcome;
 use crate::tally::QuestionSubject;
+use crate::wire_format::WireFormat;
 
 /// Longest wait for tokens of a budget: a draw takes two store calls, each of
 /// which takes up to 0.25 s while the store is slow.
@@ -59,7 +59,7 @@
 /// # Errors
 ///
 /// Fails when the budget does not cover them, or when nobody in reach has them.
-pub async fn reserve<D: RequestDialect>(
+pub async fn reserve<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// Fails when the budget does not cover them, or when they cannot be had here.
-pub async fn pass_on<D: RequestDialect>(
+pub async fn pass_on<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -106,7 +106,7 @@
 
 /// Sends tokens that no request used for a while back to a holder; a holder
 /// has them in its account then.
-pub fn return_idle<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
+pub fn return_idle<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     for (budget, tokens) in state.budgets.take_idle_given(GIVEN_REST) {
         if state.asks_for(&budget) {
             tokio::task::spawn_local(send_back(Rc::clone(state), budget, tokens));
@@ -118,7 +118,7 @@
 
 /// Sends all that others gave to other holders, at the end of a planned stop,
 /// and waits for their answers as long as the stop allows.
-pub async fn return_all<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
+pub async fn return_all<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     let mut returns = JoinSet::new();
     for (budget, tokens) in state.budgets.take_idle_given(Duration::ZERO) {
         returns.spawn_local(send_back(Rc::clone(state), budget, tokens));
@@ -130,7 +130,7 @@
 /// Brings `tokens` back to one holder, which is asked once: an answer may be
 /// lost, and the tokens must not count twice. A holder that refuses has not
 /// taken them.
-async fn send_back<D: RequestDialect>(
+async fn send_back<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     budget: BudgetName,
     tokens: TokenCount,
@@ -156,7 +156,7 @@
 }
 
 /// Waits for a draw or a report that brings the tokens.
-async fn reserve_drawn<D: RequestDialect>(
+async fn reserve_drawn<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -193,7 +193,7 @@
 
 /// Reserves from what holders give. One after the other is asked, the next one
 /// also when the one before has not answered for a while.
-async fn reserve_given<D: RequestDialect>(
+async fn reserve_given<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -251,7 +251,7 @@
 
 /// Asks one holder; what it gives can be reserved once `answers` tells so. The
 /// question goes on when the request ends, so that its tokens are not lost.
-fn ask_holder<D: RequestDialect>(
+fn ask_holder<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     holder: SocketAddr,
     budget: &BudgetName,
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -32,13 +32,13 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use crate::dialect::RequestDialect;
 use crate::endings::ExposedRequest;
 use crate::endings::RequestIdentity;
 use crate::model::ServerStart;
 use crate::peers;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Requests under which servers ended, by what became of them.
 pub const SUSPECT_REQUESTS: &str = "hibiscus_suspect_requests_total";
@@ -341,7 +341,7 @@
     waiting.drain(..count).collect()
 }
 
-impl<D: RequestDialect> TrafficState<D> {
+impl<D: WireFormat> TrafficState<D> {
     /// The process `start` of a server leaves, as `source` tells: it gets
     /// nothing new from here, and the other instances learn it.
     pub fn note_leaving(&self, start: &ServerStart, source: &str) {
@@ -409,14 +409,14 @@
 }
 
 /// Passes news on over the link for as long as the runtime runs.
-pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn keep<D: WireFormat>(state: Rc<TrafficState<D>>) {
     loop {
         let news = state.suspects.next_news();
         if news.is_empty() {
             state.suspects.has_news.notified().await;
             continue;
         }
-        let contacts = state.directory.borrow().contacts();
+        let contacts = state.directory.borrow().contact_addresses();
         for contact in contacts {
             tokio::task::spawn_local(tell(Rc::clone(&state), contact, news.clone()));
         }
@@ -425,11 +425,7 @@
 }
 
 /// Tells one instance, twice if it does not answer.
-async fn tell<D: RequestDialect>(
-    state: Rc<TrafficState<D>>,
-    contact: SocketAddr,
-    news: EndingNews,
-) {
+async fn tell<D: WireFormat>(state: Rc<TrafficState<D>>, contact: SocketAddr, news: EndingNews) {
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
--- a/crates/hibiscus-traffic/src/table.rs
+++ b/crates/hibiscus-traffic/src/table.rs
@@ -74,7 +74,7 @@
 }
 
 /// The service of `route` that the number `pick` falls to.
-pub fn service_of(route: &RouteRule, pick: u32) -> Option<&ServiceName> {
+pub fn pick_service(route: &RouteRule, pick: u32) -> Option<&ServiceName> {
     let total: u32 = route.services.iter().map(|share| share.weight).sum();
     if total == 0 {
         return route.services.first().map(|share| &share.service);
--- a/crates/hibiscus-traffic/src/measures.rs
+++ b/crates/hibiscus-traffic/src/traffic_metrics.rs
@@ -11,9 +11,9 @@
 use metrics::gauge;
 use metrics::histogram;
 
-use crate::answer::OwnReason;
 use crate::machine::MachineUse;
 use crate::model::RequestKind;
+use crate::response::LocalReason;
 
 /// Seconds from a request's arrival to the first event or byte of its answer.
 pub const FIRST_EVENT: &str = "hibiscus_first_event_seconds";
@@ -70,13 +70,13 @@
 
 /// Handles of one kind of request.
 #[derive(Debug)]
-struct KindMeasures {
+struct KindMetrics {
     first_event: Histogram,
     total: Histogram,
     outcomes: [Counter; RequestOutcome::ALL.len()],
 }
 
-impl KindMeasures {
+impl KindMetrics {
     fn new(kind: &'static str) -> Self {
         let outcome = |outcome: RequestOutcome| counter!(REQUESTS, "kind" => kind, "outcome" => outcome.word());
         Self {
@@ -89,24 +89,24 @@
 
 /// Handles of the request path.
 #[derive(Debug)]
-pub struct TrafficMeasures {
-    kinds: [KindMeasures; 4],
-    unknown: KindMeasures,
+pub struct TrafficMetrics {
+    kinds: [KindMetrics; 4],
+    unknown: KindMetrics,
     gap: Histogram,
     lateness: Histogram,
     retries: Counter,
 }
 
-impl Default for TrafficMeasures {
+impl Default for TrafficMetrics {
     fn default() -> Self {
         Self {
             kinds: [
-                KindMeasures::new("idempotent"),
-                KindMeasures::new("once"),
-                KindMeasures::new("stream"),
-                KindMeasures::new("resumable_stream"),
+                KindMetrics::new("idempotent"),
+                KindMetrics::new("once"),
+                KindMetrics::new("stream"),
+                KindMetrics::new("resumable_stream"),
             ],
-            unknown: KindMeasures::new("unknown"),
+            unknown: KindMetrics::new("unknown"),
             gap: histogram!(EVENT_GAP),
             lateness: histogram!(TIMER_LATENESS),
             retries: counter!(RETRIES),
@@ -114,41 +114,46 @@
     }
 }
 
-impl TrafficMeasures {
+impl TrafficMetrics {
     /// The first event or byte of an answer came `after` its request.
-    pub fn first_event(&self, kind: RequestKind, after: Duration) {
+    pub fn record_first_event(&self, kind: RequestKind, after: Duration) {
         self.of(Some(kind)).first_event.record(after);
     }
 
     /// An event came `after` the one before it.
-    pub fn event_gap(&self, after: Duration) {
+    pub fn record_event_gap(&self, after: Duration) {
         self.gap.record(after);
     }
 
     /// The timer was late by `delay`.
-    pub fn timer_late(&self, delay: Duration) {
+    pub fn record_timer_delay(&self, delay: Duration) {
         self.lateness.record(delay);
     }
 
     /// A request ended `after` it arrived; its kind is not known when no route
     /// took it.
-    pub fn ended(&self, kind: Option<RequestKind>, outcome: RequestOutcome, after: Duration) {
+    pub fn record_request_end(
+        &self,
+        kind: Option<RequestKind>,
+        outcome: RequestOutcome,
+        after: Duration,
+    ) {
         let measures = self.of(kind);
         measures.total.record(after);
         measures.outcomes[outcome as usize].increment(1);
     }
 
     /// A request is sent once more.
-    pub fn retried(&self) {
+    pub fn count_retry(&self) {
         self.retries.increment(1);
     }
 
     /// This instance answered itself.
-    pub fn own_answer(&self, reason: OwnReason) {
+    pub fn count_local_response(&self, reason: LocalReason) {
         counter!(OWN_ANSWERS, "reason" => reason.word()).increment(1);
     }
 
-    fn of(&self, kind: Option<RequestKind>) -> &KindMeasures {
+    fn of(&self, kind: Option<RequestKind>) -> &KindMetrics {
         match kind {
             None => &self.unknown,
             Some(RequestKind::Idempotent) => &self.kinds[0],
@@ -161,7 +166,7 @@
 
 /// What is the case at one moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TrafficLevels {
+pub struct TrafficGauges {
     /// Requests in progress.
     pub in_progress: usize,
     /// Callers' connections.
@@ -197,9 +202,9 @@
     pub account_lag: u64,
 }
 
-impl TrafficLevels {
+impl TrafficGauges {
     /// Shows the levels on the metrics' address.
-    pub fn show(&self) {
+    pub fn publish(&self) {
         let (serving, leaving) = self.servers;
         let (held, reserved, spent) = self.tokens;
         let levels = [
--- a/crates/hibiscus-traffic/src/dialect.rs
+++ b/crates/hibiscus-traffic/src/wire_format.rs
@@ -11,7 +11,7 @@
 
 /// What a caller says in the head of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallerSigns {
+pub struct CallerHeaders {
     /// The attempt's number; empty when the caller sent none.
     pub id: String,
     /// The caller's key.
@@ -30,7 +30,7 @@
 
 /// What cannot be understood in a request's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SignFault {
+pub enum HeaderFault {
     /// The token counts.
     TokenCounts,
     /// The prompt's parts.
@@ -39,7 +39,7 @@
 
 /// What a server is told beside the caller's own headers.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerSigns<'a> {
+pub struct ServerHeaders<'a> {
     /// The server that is meant; any other refuses.
     pub server: &'a ServerName,
     /// The team that pays.
@@ -55,7 +55,7 @@
 
 /// What a server says in the head of its answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerSigns {
+pub struct ResponseHeaders {
     /// The request that it answers.
     pub id: Option<String>,
     /// Whether the answer bears a server's signature.
@@ -65,29 +65,29 @@
     /// Its load.
     pub load: Option<ServerLoadReport>,
     /// Whether it leaves and takes no new requests.
-    pub leaving: bool,
+    pub draining: bool,
     /// Time for which it wants no request, if it refuses this one.
     pub pause: Option<Duration>,
 }
 
 /// Spells requests and answers.
-pub trait RequestDialect: 'static {
+pub trait WireFormat: 'static {
     /// Reads a request's head.
     ///
     /// # Errors
     ///
     /// Fails when a header that the request needs cannot be understood.
-    fn caller_signs(&self, headers: &HeaderMap) -> Result<CallerSigns, SignFault>;
+    fn parse_caller_headers(&self, headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault>;
 
     /// Removes headers that only the fleet may set.
-    fn strip_own(&self, headers: &mut HeaderMap);
+    fn strip_internal_headers(&self, headers: &mut HeaderMap);
 
     /// Sets what a server is told.
-    fn set_server_signs(&self, signs: &ServerSigns<'_>, headers: &mut HeaderMap);
+    fn set_server_headers(&self, signs: &ServerHeaders<'_>, headers: &mut HeaderMap);
 
     /// Reads an answer's head.
-    fn answer_signs(&self, headers: &HeaderMap) -> AnswerSigns;
+    fn parse_response_headers(&self, headers: &HeaderMap) -> ResponseHeaders;
 
     /// Names the request that an own answer is for.
-    fn set_answer_id(&self, id: &str, headers: &mut HeaderMap);
+    fn set_response_id(&self, id: &str, headers: &mut HeaderMap);
 }
--- a/crates/hibiscus-traffic/tests/callers.rs
+++ b/crates/hibiscus-traffic/tests/callers.rs
@@ -160,7 +160,7 @@
         pass(&mut caller, &mut served, b"head").await;
         drop(connection.begin_request());
         pass(&mut caller, &mut served, b"body").await;
-        assert_eq!(registry.end_slow_heads(Duration::ZERO), 0);
+        assert_eq!(registry.close_slow_heads(Duration::ZERO), 0);
     });
 }
 
@@ -175,7 +175,7 @@
         drop(connection.begin_request());
         pass(&mut caller, &mut served, b"body").await;
         pass(&mut caller, &mut served, b"he").await;
-        assert_eq!(registry.end_slow_heads(Duration::ZERO), 1);
+        assert_eq!(registry.close_slow_heads(Duration::ZERO), 1);
     });
 }
 
@@ -191,6 +191,6 @@
         request.note_body_read();
         drop(request);
         pass(&mut caller, &mut served, b"he").await;
-        assert_eq!(registry.end_slow_heads(Duration::ZERO), 1);
+        assert_eq!(registry.close_slow_heads(Duration::ZERO), 1);
     });
 }
--- a/crates/hibiscus-traffic/tests/idle.rs
+++ b/crates/hibiscus-traffic/tests/idle.rs
@@ -3,8 +3,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use hibiscus_traffic::idle::IdleLink;
-use hibiscus_traffic::idle::IdleLinks;
+use hibiscus_traffic::idle::IdleConnection;
+use hibiscus_traffic::idle::IdleConnections;
 
 /// A connection that is usable until it is told otherwise.
 #[derive(Debug)]
@@ -12,7 +12,7 @@
     usable: Rc<Cell<bool>>,
 }
 
-impl IdleLink for FakeLink {
+impl IdleConnection for FakeLink {
     fn is_usable(&self) -> bool {
         self.usable.get()
     }
@@ -30,7 +30,7 @@
 // server within its own bound.
 #[test]
 fn connections_to_all_servers_together_stay_within_the_machines_bound() {
-    let shelf = IdleLinks::new(3);
+    let shelf = IdleConnections::new(3);
     for _server in 0..145 {
         shelf.put(link().0);
     }
@@ -41,7 +41,7 @@
 // ones stay.
 #[test]
 fn the_connection_that_was_idle_for_longest_is_dropped_first() {
-    let shelf = IdleLinks::new(2);
+    let shelf = IdleConnections::new(2);
     let oldest = shelf.put(link().0);
     let used = shelf.put(link().0);
     let back = shelf.take(used).expect("it is kept");
@@ -55,7 +55,7 @@
 // Guards against buffers of connections that their servers have closed.
 #[test]
 fn connections_of_no_use_are_dropped_without_being_asked_for() {
-    let shelf = IdleLinks::new(4);
+    let shelf = IdleConnections::new(4);
     let (stale, usable) = link();
     let stale = shelf.put(stale);
     let fresh = shelf.put(link().0);
@@ -68,7 +68,7 @@
 // Guards against a machine that is short of memory and keeps what it holds.
 #[test]
 fn a_lower_bound_drops_the_oldest_at_once() {
-    let shelf = IdleLinks::new(4);
+    let shelf = IdleConnections::new(4);
     let first = shelf.put(link().0);
     let second = shelf.put(link().0);
     shelf.set_limit(1);
--- a/crates/hibiscus-traffic/tests/members.rs
+++ b/crates/hibiscus-traffic/tests/members.rs
@@ -42,14 +42,14 @@
 #[test]
 fn an_instance_of_a_large_fleet_asks_few_others() {
     let rings = usize::try_from(RING_COUNT).expect("small");
-    let mut watched = BTreeSet::new();
+    let mut monitored = BTreeSet::new();
     for number in 0..FLEET {
         let directory = directory(number, FLEET);
-        let entries = directory.watched();
+        let entries = directory.monitored();
         assert!(entries.len() <= rings, "{}", entries.len());
-        watched.extend(entries.iter().map(|entry| entry.name.clone()));
+        monitored.extend(entries.iter().map(|entry| entry.name.clone()));
     }
-    assert_eq!(watched.len(), usize::from(FLEET));
+    assert_eq!(monitored.len(), usize::from(FLEET));
 }
 
 /// Guards against a small fleet whose instances wait for others to tell.
@@ -57,27 +57,27 @@
 fn an_instance_of_a_small_fleet_asks_all_others() {
     let count = u16::try_from(FULL_WATCH_LIMIT + 1).expect("small");
     let mut directory = directory(0, count);
-    assert_eq!(directory.watched().len(), FULL_WATCH_LIMIT);
-    assert_eq!(directory.live(), 1);
+    assert_eq!(directory.monitored().len(), FULL_WATCH_LIMIT);
+    assert_eq!(directory.live_count(), 1);
     directory.note_reachable(&instance(1, 1), true);
-    assert_eq!(directory.live(), 2);
-    assert!(!directory.has_news());
+    assert_eq!(directory.live_count(), 2);
+    assert!(!directory.has_updates());
 }
 
 /// Guards against callers that are told of few instances until all were asked.
 #[test]
 fn instances_of_a_large_fleet_serve_until_a_watcher_says_else() {
     let mut directory = directory(0, FLEET);
-    assert_eq!(directory.live(), u32::from(FLEET));
-    assert_eq!(directory.peers().len(), usize::from(FLEET) - 1);
+    assert_eq!(directory.live_count(), u32::from(FLEET));
+    assert_eq!(directory.peer_addresses().len(), usize::from(FLEET) - 1);
     assert_eq!(directory.addresses(None).len(), usize::from(FLEET));
-    let watched = directory.watched()[0].clone();
-    directory.note_reachable(&watched, true);
-    directory.note_reachable(&watched, false);
-    assert_eq!(directory.live(), u32::from(FLEET) - 1);
-    assert_eq!(directory.may_serve(), u32::from(FLEET));
-    assert!(!directory.addresses(None).contains(&watched.callers));
-    assert!(directory.has_news());
+    let monitored = directory.monitored()[0].clone();
+    directory.note_reachable(&monitored, true);
+    directory.note_reachable(&monitored, false);
+    assert_eq!(directory.live_count(), u32::from(FLEET) - 1);
+    assert_eq!(directory.possibly_live_count(), u32::from(FLEET));
+    assert!(!directory.addresses(None).contains(&monitored.callers));
+    assert!(directory.has_updates());
 }
 
 /// Guards against a remembered order that outlives the instances it was made
@@ -112,5 +112,5 @@
     assert_eq!(directory.take_replaced_pins(), [instance(1, 1).pin]);
     directory.announce(instance(1, 1));
     assert!(directory.take_replaced_pins().is_empty());
-    assert!(directory.knows(&instance(1, 2)));
+    assert!(directory.is_current(&instance(1, 2)));
 }
--- a/crates/hibiscus-traffic/tests/parts.rs
+++ b/crates/hibiscus-traffic/tests/parts.rs
@@ -3,7 +3,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hibiscus_traffic::answer::OwnReason;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::model::CallerLimits;
 use hibiscus_traffic::model::FleetConfig;
@@ -12,9 +11,10 @@
 use hibiscus_traffic::model::RouteRule;
 use hibiscus_traffic::model::TeamRule;
 use hibiscus_traffic::model::WeightedService;
+use hibiscus_traffic::response::LocalReason;
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
-use hibiscus_traffic::stream::EventFollower;
+use hibiscus_traffic::stream::EventParser;
 use hibiscus_traffic::table;
 use hibiscus_traffic::table::RouteTable;
 use hibiscus_types::IncarnationId;
@@ -24,7 +24,7 @@
 fn events_are_counted_however_their_bytes_are_cut() {
     let bytes = b"id: 1\ndata: x\n\nid: 2\r\ndata: y\r\n\r\n: note\n\nid: 3\n\n";
     for size in [1, 2, 7, bytes.len()] {
-        let mut follower = EventFollower::default();
+        let mut follower = EventParser::default();
         for piece in bytes.chunks(size) {
             follower.take(piece);
         }
@@ -36,16 +36,16 @@
 
 #[test]
 fn a_missing_a_repeated_and_a_cut_event_show() {
-    let mut gap = EventFollower::default();
+    let mut gap = EventParser::default();
     gap.take(b"id: 1\n\nid: 3\n\n");
     assert!(gap.is_disordered());
-    let mut twice = EventFollower::default();
+    let mut twice = EventParser::default();
     twice.take(b"id: 1\n\nid: 1\n\n");
     assert!(twice.is_disordered());
-    let mut after = EventFollower::after(Some(4));
+    let mut after = EventParser::after(Some(4));
     after.take(b"id: 1\n\n");
     assert!(after.is_disordered());
-    let mut cut = EventFollower::default();
+    let mut cut = EventParser::default();
     cut.take(b"id: 1\n\nid: 2\nda");
     assert!(!cut.is_at_boundary());
 }
@@ -153,7 +153,7 @@
 #[test]
 fn a_route_splits_its_requests_by_weight() {
     let rule = route("/a/", &[("one", 90), ("two", 10)]);
-    let to_two = (0..1_000).filter(|pick| table::service_of(&rule, *pick) == Some(&"two".into()));
+    let to_two = (0..1_000).filter(|pick| table::pick_service(&rule, *pick) == Some(&"two".into()));
     assert_eq!(to_two.count(), 100);
 }
 
@@ -226,7 +226,7 @@
     directory.note_reachable(&successor, true);
     assert_eq!(directory.addresses(None).len(), 2);
     assert!(!directory.announce(instance(1, 9)));
-    assert!(directory.knows(&successor));
+    assert!(directory.is_current(&successor));
 }
 
 /// Instances on both sides of a cut send retries: each must keep to a share
@@ -240,8 +240,8 @@
         directory.note_reachable(&other, true);
         directory.note_reachable(&other, false);
     }
-    assert_eq!(directory.live(), 1);
-    assert_eq!(directory.may_serve(), 7);
+    assert_eq!(directory.live_count(), 1);
+    assert_eq!(directory.possibly_live_count(), 7);
 }
 
 #[test]
@@ -261,15 +261,15 @@
 /// Callers take these statuses for a promise that the request did not run.
 #[test]
 fn only_reasons_before_a_server_are_promises() {
-    let unknown = [OwnReason::Unknown, OwnReason::TimedOut];
+    let unknown = [LocalReason::Unknown, LocalReason::TimedOut];
     for reason in unknown {
         let status = reason.status().as_u16();
         assert!(![408, 421, 429, 503].contains(&status), "{reason:?}");
     }
     for reason in [
-        OwnReason::NoConfig,
-        OwnReason::ServersFull,
-        OwnReason::Stopping,
+        LocalReason::NoConfig,
+        LocalReason::ServersFull,
+        LocalReason::Stopping,
     ] {
         assert_eq!(reason.status().as_u16(), 503);
         assert!(reason.retry_after().is_some(), "{reason:?}");
@@ -335,7 +335,7 @@
 fn instances_of_equal_capacity_are_all_named() {
     fastrand::seed(17);
     for directory in [fleet(20, 0), fleet(62, 0)] {
-        let expected = directory.live() as usize;
+        let expected = directory.live_count() as usize;
         for _answer in 0..50 {
             assert_eq!(directory.addresses(None).len(), expected);
         }
--- a/crates/hibiscus-traffic/tests/state.rs
+++ b/crates/hibiscus-traffic/tests/state.rs
@@ -14,11 +14,6 @@
 use hibiscus_traffic::budgets::AccountBatch;
 use hibiscus_traffic::budgets::BudgetDesk;
 use hibiscus_traffic::clock::MachineClock;
-use hibiscus_traffic::dialect::AnswerSigns;
-use hibiscus_traffic::dialect::CallerSigns;
-use hibiscus_traffic::dialect::RequestDialect;
-use hibiscus_traffic::dialect::ServerSigns;
-use hibiscus_traffic::dialect::SignFault;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::holders;
 use hibiscus_traffic::machine::MachineLimits;
@@ -36,6 +31,11 @@
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::ConfigSource;
 use hibiscus_traffic::updates::TrafficUpdate;
+use hibiscus_traffic::wire_format::CallerHeaders;
+use hibiscus_traffic::wire_format::HeaderFault;
+use hibiscus_traffic::wire_format::ResponseHeaders;
+use hibiscus_traffic::wire_format::ServerHeaders;
+use hibiscus_traffic::wire_format::WireFormat;
 use hibiscus_types::IncarnationId;
 use hibiscus_types::TokenCount;
 use hibiscus_types::codec;
@@ -55,20 +55,20 @@
 /// Spells nothing: these tests send no request.
 struct SilentDialect;
 
-impl RequestDialect for SilentDialect {
-    fn caller_signs(&self, _headers: &HeaderMap) -> Result<CallerSigns, SignFault> {
-        Ok(CallerSigns::default())
+impl WireFormat for SilentDialect {
+    fn parse_caller_headers(&self, _headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault> {
+        Ok(CallerHeaders::default())
     }
 
-    fn strip_own(&self, _headers: &mut HeaderMap) {}
+    fn strip_internal_headers(&self, _headers: &mut HeaderMap) {}
 
-    fn set_server_signs(&self, _signs: &ServerSigns<'_>, _headers: &mut HeaderMap) {}
+    fn set_server_headers(&self, _signs: &ServerHeaders<'_>, _headers: &mut HeaderMap) {}
 
-    fn answer_signs(&self, _headers: &HeaderMap) -> AnswerSigns {
-        AnswerSigns::default()
+    fn parse_response_headers(&self, _headers: &HeaderMap) -> ResponseHeaders {
+        ResponseHeaders::default()
     }
 
-    fn set_answer_id(&self, _id: &str, _headers: &mut HeaderMap) {}
+    fn set_response_id(&self, _id: &str, _headers: &mut HeaderMap) {}
 }
 
 /// News of `config`.
