--- a/crates/hibiscus-front/src/config/board.rs
+++ b/crates/hibiscus-front/src/config/board.rs
@@ -10,7 +10,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::change::ConfigChange;
+use hibiscus_traffic::config_delta::ConfigDelta;
 use hibiscus_traffic::model::FleetConfig;
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::TrafficUpdate;
@@ -34,7 +34,7 @@
     /// Offset up to which records were read that hold no readable
     /// configuration.
     unreadable: u64,
-    /// Largest [`ConfigChange::next`] that was read.
+    /// Largest [`ConfigDelta::next`] that was read.
     published: u64,
     /// Offset after the last record of the changes that was read.
     changes_end: Option<u64>,
@@ -69,7 +69,7 @@
     }
 
     /// How many instances come before this one as a relay, at most
-    /// [`hibiscus_traffic::relays::RELAYS`].
+    /// [`hibiscus_traffic::relays::RELAY_COUNT`].
     pub(super) fn place(&self) -> u32 {
         self.duty.place()
     }
@@ -109,7 +109,7 @@
 
     /// Applies `change`, which was read from the fleet's topic, if it is one of
     /// the configuration that is held.
-    pub(super) fn apply(&self, change: ConfigChange, arrival: ConfigArrival) {
+    pub(super) fn apply(&self, change: ConfigDelta, arrival: ConfigArrival) {
         let begun = Instant::now();
         let (base, next) = (change.base, change.next);
         let mut state = self.lock();
@@ -129,8 +129,8 @@
         match change.apply(&held.config) {
             Ok(config) => {
                 let arrival = ConfigArrival {
-                    decode: begun.elapsed(),
-                    told: Instant::now(),
+                    decode_time: begun.elapsed(),
+                    queued_at: Instant::now(),
                     ..arrival
                 };
                 self.replace(&mut state, Arc::new(config), next, arrival);
--- a/crates/hibiscus-front/src/config/changes.rs
+++ b/crates/hibiscus-front/src/config/changes.rs
@@ -6,8 +6,8 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::change::ChangeAssembler;
-use hibiscus_traffic::change::ConfigChange;
+use hibiscus_traffic::config_delta::ConfigDelta;
+use hibiscus_traffic::config_delta::DeltaAssembler;
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::ConfigSource;
 use platform::store::StoreClient;
@@ -30,7 +30,7 @@
 /// one.
 pub(super) fn follow(store: &StoreClient, board: &ConfigBoard) {
     let mut reach = ReachLog::default();
-    let mut assembler = ChangeAssembler::default();
+    let mut assembler = DeltaAssembler::default();
     let mut next: Option<u64> = None;
     loop {
         let step = match next {
@@ -50,7 +50,7 @@
                     EventCode::HistoryDropped,
                     "topic={CHANGES_TOPIC} first={first}"
                 );
-                assembler = ChangeAssembler::default();
+                assembler = DeltaAssembler::default();
                 next = None;
             }
             Err(error) => {
@@ -63,7 +63,7 @@
 
 /// Applies the changes of a page that begins at `from`; returns the offset
 /// after it.
-fn apply(read: &StoreRead, from: u64, assembler: &mut ChangeAssembler, board: &ConfigBoard) -> u64 {
+fn apply(read: &StoreRead, from: u64, assembler: &mut DeltaAssembler, board: &ConfigBoard) -> u64 {
     let mut next = from;
     for record in &read.page.records {
         next += 1;
@@ -71,12 +71,12 @@
             Ok(None) => {}
             Ok(Some(change)) => {
                 let arrival = ConfigArrival {
-                    source: ConfigSource::Change,
+                    source: ConfigSource::Delta,
                     bytes: read.transfer.bytes,
-                    read: read.transfer.time,
-                    behind: read.page.end.saturating_sub(next),
-                    decode: Duration::ZERO,
-                    told: Instant::now(),
+                    read_time: read.transfer.time,
+                    records_behind: read.page.end.saturating_sub(next),
+                    decode_time: Duration::ZERO,
+                    queued_at: Instant::now(),
                 };
                 board.apply(change, arrival);
             }
@@ -87,7 +87,7 @@
 }
 
 /// Publishes `change`, unless another instance does so first.
-pub(super) fn publish(store: &StoreClient, board: &ConfigBoard, change: &ConfigChange) {
+pub(super) fn publish(store: &StoreClient, board: &ConfigBoard, change: &ConfigDelta) {
     let records = match change.to_records() {
         Ok(records) => records,
         Err(error) => {
--- a/crates/hibiscus-front/src/config/operators.rs
+++ b/crates/hibiscus-front/src/config/operators.rs
@@ -7,7 +7,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::change::ConfigChange;
+use hibiscus_traffic::config_delta::ConfigDelta;
 use hibiscus_traffic::model::FleetConfig;
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::ConfigSource;
@@ -185,7 +185,7 @@
         self.current = next >= read.page.end;
         let mut offset = next;
         for record in read.page.records.iter().rev() {
-            let behind = read.page.end.saturating_sub(offset);
+            let records_behind = read.page.end.saturating_sub(offset);
             let end = offset;
             offset -= 1;
             let Some(record) = records::decode_keyed(record) else {
@@ -195,7 +195,7 @@
             let Some(value) = record.value.filter(|_value| record.key == config::KEY) else {
                 continue;
             };
-            if self.hold(&value, end, read.transfer, behind) {
+            if self.hold(&value, end, read.transfer, records_behind) {
                 self.board.note_unreadable(next);
                 return true;
             }
@@ -205,7 +205,7 @@
 
     /// Decodes a configuration that follows from all records before `next`,
     /// holds it and publishes what changed; whether it can be read.
-    fn hold(&self, value: &[u8], next: u64, transfer: ReplyTransfer, behind: u64) -> bool {
+    fn hold(&self, value: &[u8], next: u64, transfer: ReplyTransfer, records_behind: u64) -> bool {
         let begun = Instant::now();
         let config = match config::decode(value) {
             Ok(config) => Arc::new(config),
@@ -215,17 +215,17 @@
                 return false;
             }
         };
-        if !config.left_out.is_empty() {
-            let (version, routes) = (config.version, config.left_out.join(","));
+        if !config.skipped_routes.is_empty() {
+            let (version, routes) = (config.version, config.skipped_routes.join(","));
             event!(EventCode::RouteLeftOut, "version={version} routes={routes}");
         }
         let arrival = ConfigArrival {
             source: ConfigSource::Operators,
             bytes: transfer.bytes,
-            read: transfer.time,
-            behind,
-            decode: begun.elapsed(),
-            told: Instant::now(),
+            read_time: transfer.time,
+            records_behind,
+            decode_time: begun.elapsed(),
+            queued_at: Instant::now(),
         };
         let before = self.board.held();
         self.board.hold(Arc::clone(&config), next, arrival);
@@ -242,7 +242,7 @@
         if self.board.wait_published(next, stagger) {
             return;
         }
-        let change = ConfigChange::between((before.next, &before.config), (next, config));
+        let change = ConfigDelta::between((before.next, &before.config), (next, config));
         changes::publish(self.store, self.board, &change);
     }
 }
--- a/crates/hibiscus-front/src/follow.rs
+++ b/crates/hibiscus-front/src/follow.rs
@@ -243,7 +243,7 @@
                 }
                 if next >= end && !current {
                     current = true;
-                    tell(updates, TrafficUpdate::AccountsCurrent);
+                    tell(updates, TrafficUpdate::AccountsCaughtUp);
                 }
                 if current {
                     thread::park_timeout(ACCOUNTS_PAUSE);
@@ -277,6 +277,9 @@
             ),
         }
     }
-    tell(updates, TrafficUpdate::AccountsResumed { first, snapshots });
+    tell(
+        updates,
+        TrafficUpdate::AccountsTruncated { first, snapshots },
+    );
     Ok(())
 }
--- a/crates/hibiscus-front/src/relay.rs
+++ b/crates/hibiscus-front/src/relay.rs
@@ -6,7 +6,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::relays::RELAYS;
+use hibiscus_traffic::relays::RELAY_COUNT;
 
 /// Whether this instance is one of the few that read topics as they are written
 /// and publish what changes. The traffic thread sets it, others look at it.
@@ -34,15 +34,15 @@
         }
     }
 
-    /// How many instances come before this one, at most [`RELAYS`].
+    /// How many instances come before this one, at most [`RELAY_COUNT`].
     pub(crate) fn place(&self) -> u32 {
-        let place = self.place.load(Ordering::Relaxed).min(RELAYS);
+        let place = self.place.load(Ordering::Relaxed).min(RELAY_COUNT);
         u32::try_from(place).unwrap_or(u32::MAX)
     }
 
     /// Whether this instance is one of the few.
     pub(crate) fn is_relay(&self) -> bool {
-        self.place.load(Ordering::Relaxed) < RELAYS
+        self.place.load(Ordering::Relaxed) < RELAY_COUNT
     }
 
     /// Whether a few read for the others.
--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -32,7 +32,7 @@
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
 use hibiscus_traffic::shares::MemoryShares;
-use hibiscus_traffic::state::TrafficParts;
+use hibiscus_traffic::state::TrafficComponents;
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::supply;
 use hibiscus_traffic::suspects::SuspectDesk;
@@ -151,7 +151,7 @@
         peers: settings.peers,
         pin: keys.pin(),
         data_centre: settings.data_centre.clone(),
-        leaving: false,
+        shutting_down: false,
         capacity: settings.capacity(),
     };
     let limits = MachineLimits {
@@ -177,7 +177,7 @@
         clock.now().millis
     );
     let store = StoreClient::new(settings.store);
-    let (sender, receiver) = updates::ring();
+    let (sender, receiver) = updates::channel();
     let (outbox, batches) = mpsc::sync_channel(append::RING_CAPACITY);
     let (news, suspect_batches) = mpsc::sync_channel(suspects::RING_CAPACITY);
     spawn("signals", {
@@ -227,14 +227,14 @@
         slack: settings.retry_slack,
         window: settings.retry_window,
     });
-    let state = Rc::new(TrafficState::new(TrafficParts {
-        dialect: PlatformDialect,
+    let state = Rc::new(TrafficState::new(TrafficComponents {
+        wire_format: PlatformDialect,
         data_centre: settings.data_centre.clone(),
         budgets: desk,
         retries,
         directory: InstanceDirectory::new(own.clone()),
         suspects: SuspectDesk::new(own.name.clone(), news),
-        bounds: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
+        memory_shares: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
         limits,
         first_start: settings.first_start,
     }));
@@ -305,11 +305,11 @@
     let readiness = bind(settings.readiness).await?;
     let directory = bind(settings.directory).await?;
     let operators = bind(settings.metrics).await?;
-    let (inbox, calls) = tokio::sync::mpsc::channel(peers::RING_CAPACITY);
+    let (inbox, calls) = tokio::sync::mpsc::channel(peers::REQUEST_QUEUE_CAPACITY);
     let link = PinnedLink::open(settings.peers, &keys, &state.pins, inbox)?;
     *state.link.borrow_mut() = Some(link);
     state.budgets.begin();
-    tokio::task::spawn_local(peers::answer_calls(Rc::clone(&state), calls));
+    tokio::task::spawn_local(peers::answer_peer_requests(Rc::clone(&state), calls));
     tokio::task::spawn_local(recovery::close_unproven(Rc::clone(&state)));
     tokio::task::spawn_local(recovery::close_strangers(Rc::clone(&state)));
     tokio::task::spawn_local(members::keep(Rc::clone(&state), answers::READINESS_PATH));
@@ -335,7 +335,7 @@
     tokio::task::spawn_local(watch_memory(Rc::clone(&state)));
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    while state.stopping().is_none() {
+    while state.shutdown_start().is_none() {
         tokio::select! {
             update = updates.recv() => {
                 if let Some(update) = update {
@@ -347,22 +347,22 @@
                 state.expire_servers();
                 state.directory.borrow_mut().tick();
                 let large = state.directory.borrow().is_large();
-                duty.set(state.relay_place(), large);
-                state.members.notify_one();
+                duty.set(state.relay_rank(), large);
+                state.membership_changed.notify_one();
                 state.end_slow_heads();
                 state.share_server_connections();
                 state.review_budgets();
                 supply::return_idle(&state);
             }
         }
-        accounts.set(state.follows_accounts());
+        accounts.set(state.reads_account_stream());
     }
     spawn("announce", move || {
-        let leaving = InstanceEntry {
-            leaving: true,
+        let shutting_down = InstanceEntry {
+            shutting_down: true,
             ..own
         };
-        follow::announce(&store, &leaving);
+        follow::announce(&store, &shutting_down);
     })?;
     stop(settings, &state, &mut updates).await;
     Ok(())
@@ -407,7 +407,7 @@
         tokio::time::sleep(MEMORY_PAUSE).await;
         state.drop_unusable_links();
         if let Some(resident) = machine::resident() {
-            state.note_memory(resident);
+            state.observe_memory(resident);
         }
     }
 }
@@ -466,7 +466,7 @@
         }
     }
     // What an instance knows that does not follow the stream is old.
-    if !state.follows_accounts() {
+    if !state.reads_account_stream() {
         return;
     }
     state.budgets.write_snapshots();
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -56,7 +56,7 @@
         match follower.step(reach.wait_or(READ_WAIT)) {
             Ok(()) => {
                 reach.succeeded(servers::TOPIC);
-                tell(updates, TrafficUpdate::ServersRead);
+                tell(updates, TrafficUpdate::ServerTopicRead);
             }
             Err(StoreError::Expired { first }) => {
                 event!(
@@ -68,7 +68,7 @@
             }
             Err(error) => {
                 reach.failed(servers::TOPIC, &error);
-                tell(updates, TrafficUpdate::ServersLost);
+                tell(updates, TrafficUpdate::ServerTopicUnavailable);
                 thread::sleep(FAILURE_PAUSE);
             }
         }
@@ -254,7 +254,7 @@
     fn tell_change(&self, change: ServerChange) {
         let update = match change {
             ServerChange::Present(entry) => TrafficUpdate::Server(entry),
-            ServerChange::Gone(name) => TrafficUpdate::ServerGone(name),
+            ServerChange::Gone(name) => TrafficUpdate::ServerRemoved(name),
         };
         tell(self.updates, update);
     }
--- a/crates/hibiscus-front/src/signals.rs
+++ b/crates/hibiscus-front/src/signals.rs
@@ -19,7 +19,7 @@
             continue;
         }
         event!(EventCode::InstanceStopping, "signal={signal}");
-        if updates.blocking_send(TrafficUpdate::Stop).is_err() {
+        if updates.blocking_send(TrafficUpdate::Shutdown).is_err() {
             return;
         }
     }
--- a/crates/hibiscus-membership/src/address.rs
+++ b/crates/hibiscus-membership/src/address.rs
@@ -17,7 +17,7 @@
 
 /// Ranked addresses, best first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AddressAnswer {
+pub struct AddressRanking {
     /// Addresses to try in order.
     pub addresses: Vec<SocketAddr>,
     /// Seconds that the answer may be kept.
@@ -26,19 +26,23 @@
 
 /// Ranks `ready` for `caller`: its own data centre first, and within it by
 /// rendezvous hashing, so that callers spread and keep their address.
-pub fn answer(caller: &str, nearby: &DataCentre, ready: &[FleetInstance]) -> AddressAnswer {
-    answer_by_load(caller, nearby, ready, |_instance| 0)
+pub fn rank_addresses(
+    caller: &str,
+    nearby: &DataCentre,
+    ready: &[FleetInstance],
+) -> AddressRanking {
+    rank_addresses_by_load(caller, nearby, ready, |_instance| 0)
 }
 
-/// As [`answer`], but an instance whose load is well above the average of
+/// As [`rank_addresses`], but an instance whose load is well above the average of
 /// its data centre comes after the others there. Below that bound an answer
 /// depends on the membership alone, so callers keep their address.
-pub fn answer_by_load<F>(
+pub fn rank_addresses_by_load<F>(
     caller: &str,
     nearby: &DataCentre,
     ready: &[FleetInstance],
     load_of: F,
-) -> AddressAnswer
+) -> AddressRanking
 where
     F: Fn(&FleetInstance) -> u32,
 {
@@ -51,7 +55,7 @@
         let far = instance.data_centre != *nearby;
         (far, !far && u64::from(load_of(instance)) > bound)
     });
-    AddressAnswer {
+    AddressRanking {
         addresses: ranked.iter().map(|instance| instance.callers).collect(),
         lifetime_s: ADDRESS_LIFETIME.as_secs(),
     }
--- a/crates/hibiscus-membership/src/silence.rs
+++ b/crates/hibiscus-membership/src/detector.rs
@@ -2,7 +2,7 @@
 //!
 //! In a small fleet every instance watches all others and believes what it
 //! sees. In a larger one it watches few ([`crate::rings`]), and the watchers
-//! tell the rest: a [`SilenceVerdict`] goes from neighbour to neighbour, and a
+//! tell the rest: a [`FailureSuspicion`] goes from neighbour to neighbour, and a
 //! slow exchange repairs what got lost. An instance that one watcher calls
 //! silent is affirmed by its other watchers, if they find it answering, and
 //! the majority holds; verdicts of watchers that are themselves called silent
@@ -21,14 +21,14 @@
 use hibiscus_types::IncarnationId;
 use hibiscus_types::InstanceName;
 
-use crate::rings::FULL_WATCH_LIMIT;
-use crate::rings::WatchRings;
-use crate::verdict::SilenceMessage;
-use crate::verdict::SilenceVerdict;
-use crate::verdict::WatchFinding;
+use crate::rings::FULL_MONITORING_LIMIT;
+use crate::rings::MonitorRings;
+use crate::suspicion::FailureSuspicion;
+use crate::suspicion::MonitorFinding;
+use crate::suspicion::SuspicionMessage;
 
 /// Verdicts in one message: less than 4 KB.
-pub const VERDICT_LIMIT: usize = 32;
+pub const SUSPICION_LIMIT: usize = 32;
 /// Messages in which one verdict is passed on.
 const NEWS_REPEATS: u8 = 2;
 /// Held verdicts that an exchange repeats.
@@ -38,7 +38,7 @@
 const JOIN_BYTES: usize = 48 * 1024;
 /// Bytes of an encoded verdict beyond its two names, at most.
 const VERDICT_BYTES: usize = 64;
-/// Answers of other instances to the question for all that is known.
+/// Responsive of other instances to the question for all that is known.
 const JOIN_ANSWERS: u8 = 2;
 /// Verdicts kept of one instance: its watchers, and some that were.
 const REPORTER_LIMIT: usize = 16;
@@ -52,7 +52,7 @@
 /// A verdict and when it came.
 #[derive(Clone, Debug)]
 struct HeldVerdict {
-    verdict: SilenceVerdict,
+    verdict: FailureSuspicion,
     heard: Duration,
 }
 
@@ -71,7 +71,7 @@
     /// Whether the own process ever found it serving.
     served: bool,
     /// What the own process told the others.
-    told: Option<WatchFinding>,
+    told: Option<MonitorFinding>,
     /// What the watchers say.
     verdicts: BTreeMap<InstanceName, HeldVerdict>,
 }
@@ -79,18 +79,18 @@
 /// A verdict that waits to be passed on.
 #[derive(Clone, Debug)]
 struct PendingNews {
-    verdict: SilenceVerdict,
+    verdict: FailureSuspicion,
     repeats: u8,
 }
 
 /// The other instances and which of them are held to answer.
 #[derive(Clone, Debug)]
-pub struct SilenceBoard {
+pub struct FailureDetector {
     own: InstanceName,
     process: IncarnationId,
     version: u64,
     members: BTreeMap<InstanceName, FleetMember>,
-    rings: WatchRings,
+    rings: MonitorRings,
     watched: BTreeSet<InstanceName>,
     silent: BTreeSet<InstanceName>,
     /// Instances of which anything was seen or said: few, so that a decision
@@ -99,15 +99,15 @@
     news: VecDeque<PendingNews>,
     /// After which verdict the next repair goes on: its subject and reporter.
     repaired: Option<(InstanceName, InstanceName)>,
-    /// Answers still wanted to the question for all that is known.
+    /// Responsive still wanted to the question for all that is known.
     wanted: u8,
 }
 
-impl SilenceBoard {
+impl FailureDetector {
     /// The board of the process `process` of the instance `own`.
     pub fn new(own: InstanceName, process: IncarnationId) -> Self {
         Self {
-            rings: WatchRings::new(own.clone()),
+            rings: MonitorRings::new(own.clone()),
             own,
             process,
             version: 0,
@@ -172,7 +172,7 @@
 
     /// Takes over what the own process found at `now` of a process that it
     /// watches.
-    pub fn note(
+    pub fn record_finding(
         &mut self,
         name: &InstanceName,
         incarnation: IncarnationId,
@@ -196,22 +196,22 @@
     }
 
     /// Takes over what another instance passed on, and answers it.
-    pub fn take(&mut self, message: SilenceMessage, now: Duration) -> SilenceMessage {
+    pub fn receive(&mut self, message: SuspicionMessage, now: Duration) -> SuspicionMessage {
         let joining = message.joining;
-        self.take_answer(message, now);
+        self.receive_response(message, now);
         let verdicts = if joining {
             self.all_silent()
         } else {
             self.next_repairs()
         };
-        SilenceMessage {
+        SuspicionMessage {
             joining: false,
             verdicts,
         }
     }
 
     /// Takes over an answer.
-    pub fn take_answer(&mut self, message: SilenceMessage, now: Duration) {
+    pub fn receive_response(&mut self, message: SuspicionMessage, now: Duration) {
         let mut changed = false;
         for verdict in message.verdicts {
             changed |= self.learn(verdict, now);
@@ -222,7 +222,7 @@
     }
 
     /// Notes that one of the others answered the question for all.
-    pub fn note_joined(&mut self) {
+    pub fn record_join_response(&mut self) {
         self.wanted = self.wanted.saturating_sub(1);
     }
 
@@ -235,21 +235,21 @@
 
     /// Whether the fleet is so large that each watches a few.
     pub fn is_large(&self) -> bool {
-        self.members.len() > FULL_WATCH_LIMIT
+        self.members.len() > FULL_MONITORING_LIMIT
     }
 
     /// Whether `name` is held not to answer.
-    pub fn is_silent(&self, name: &InstanceName) -> bool {
+    pub fn is_unresponsive(&self, name: &InstanceName) -> bool {
         self.silent.contains(name)
     }
 
     /// The instances that are held not to answer.
-    pub fn silent(&self) -> &BTreeSet<InstanceName> {
+    pub fn unresponsive(&self) -> &BTreeSet<InstanceName> {
         &self.silent
     }
 
     /// The instances that the own one watches.
-    pub fn watched(&self) -> &BTreeSet<InstanceName> {
+    pub fn monitored(&self) -> &BTreeSet<InstanceName> {
         &self.watched
     }
 
@@ -260,14 +260,14 @@
     }
 
     /// Whether news wait to be passed on.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         !self.news.is_empty()
     }
 
     /// The next news, for all contacts; `None` when there are none.
-    pub fn next_news(&mut self) -> Option<SilenceMessage> {
+    pub fn next_update(&mut self) -> Option<SuspicionMessage> {
         let mut verdicts = Vec::new();
-        for _news in 0..self.news.len().min(VERDICT_LIMIT) {
+        for _news in 0..self.news.len().min(SUSPICION_LIMIT) {
             let Some(mut news) = self.news.pop_front() else {
                 break;
             };
@@ -277,22 +277,22 @@
                 self.news.push_back(news);
             }
         }
-        (!verdicts.is_empty()).then_some(SilenceMessage {
+        (!verdicts.is_empty()).then_some(SuspicionMessage {
             joining: false,
             verdicts,
         })
     }
 
     /// A message of the slow exchange, for one contact.
-    pub fn next_exchange(&mut self) -> SilenceMessage {
-        SilenceMessage {
+    pub fn next_exchange(&mut self) -> SuspicionMessage {
+        SuspicionMessage {
             joining: self.wanted > 0,
             verdicts: self.next_repairs(),
         }
     }
 
     /// Takes a verdict over; false when it says nothing new.
-    fn learn(&mut self, verdict: SilenceVerdict, now: Duration) -> bool {
+    fn learn(&mut self, verdict: FailureSuspicion, now: Duration) -> bool {
         if verdict.reporter == self.own || verdict.subject == verdict.reporter {
             return false;
         }
@@ -324,7 +324,7 @@
     }
 
     /// Queues a verdict in place of an older one of the same watcher.
-    fn pass_on(&mut self, verdict: SilenceVerdict) {
+    fn pass_on(&mut self, verdict: FailureSuspicion) {
         self.news.retain(|news| {
             news.verdict.subject != verdict.subject || news.verdict.reporter != verdict.reporter
         });
@@ -405,7 +405,7 @@
             };
             self.version += 1;
             member.told = Some(finding);
-            let verdict = SilenceVerdict {
+            let verdict = FailureSuspicion {
                 subject: name.clone(),
                 incarnation: member.incarnation,
                 reporter: self.own.clone(),
@@ -427,17 +427,17 @@
 
     /// The verdicts by which instances are silent, then those that contradict,
     /// as many as a message holds.
-    fn all_silent(&self) -> Vec<SilenceVerdict> {
+    fn all_silent(&self) -> Vec<FailureSuspicion> {
         let members = self.members.values();
         let held = members.flat_map(|member| member.verdicts.values());
         let found = |finding| {
             let verdicts = held.clone().map(|held| &held.verdict);
             verdicts.filter(move |verdict| verdict.finding == finding)
         };
-        let silent = found(WatchFinding::Silent);
+        let silent = found(MonitorFinding::Unresponsive);
         let mut verdicts = Vec::new();
         let mut bytes = 0;
-        for verdict in silent.chain(found(WatchFinding::Answers)) {
+        for verdict in silent.chain(found(MonitorFinding::Responsive)) {
             let names = verdict.subject.as_str().len() + verdict.reporter.as_str().len();
             bytes += VERDICT_BYTES + names;
             if bytes > JOIN_BYTES {
@@ -449,7 +449,7 @@
     }
 
     /// The next held verdicts in turn.
-    fn next_repairs(&mut self) -> Vec<SilenceVerdict> {
+    fn next_repairs(&mut self) -> Vec<FailureSuspicion> {
         let mut verdicts = Vec::new();
         let mut after = self.repaired.take();
         let first = after.as_ref().map(|(subject, _reporter)| subject.clone());
@@ -510,12 +510,12 @@
                 continue;
             }
             match held.verdict.finding {
-                WatchFinding::Answers => votes.answers += 1,
-                WatchFinding::Silent => {
+                MonitorFinding::Responsive => votes.answers += 1,
+                MonitorFinding::Unresponsive => {
                     votes.silent += 1;
                     votes.heard = votes.heard.max(held.heard);
                 }
-                WatchFinding::Withdrawn => {}
+                MonitorFinding::Withdrawn => {}
             }
         }
         votes
@@ -527,15 +527,15 @@
     }
 
     /// What the own process must tell of it now, if it has not.
-    fn next_finding(&self, watched: bool, now: Duration) -> Option<WatchFinding> {
-        let told_silent = self.told == Some(WatchFinding::Silent);
+    fn next_finding(&self, watched: bool, now: Duration) -> Option<MonitorFinding> {
+        let told_silent = self.told == Some(MonitorFinding::Unresponsive);
         let finding = match self.seen {
             _ if self.gone => return None,
-            Some(false) if !self.is_starting(now) => WatchFinding::Silent,
+            Some(false) if !self.is_starting(now) => MonitorFinding::Unresponsive,
             Some(true) if told_silent || self.votes(|_reporter| true).silent > 0 => {
-                WatchFinding::Answers
+                MonitorFinding::Responsive
             }
-            None if !watched && self.told.is_some() => WatchFinding::Withdrawn,
+            None if !watched && self.told.is_some() => MonitorFinding::Withdrawn,
             _ => return None,
         };
         (self.told != Some(finding)).then_some(finding)
@@ -547,7 +547,8 @@
             return true;
         }
         let mut held = self.verdicts.iter();
-        let withdrawn = held.find(|(_name, held)| held.verdict.finding == WatchFinding::Withdrawn);
+        let withdrawn =
+            held.find(|(_name, held)| held.verdict.finding == MonitorFinding::Withdrawn);
         let Some(name) = withdrawn.map(|(name, _held)| name.clone()) else {
             return false;
         };
--- a/crates/hibiscus-membership/src/gossip.rs
+++ b/crates/hibiscus-membership/src/gossip.rs
@@ -16,11 +16,11 @@
 pub const REPAIR_ITEMS: usize = 2;
 /// Instances that must call another one silent before those that do not
 /// exchange with it believe so.
-pub const SILENCE_REPORTS: usize = 2;
+pub const FAILURE_REPORT_QUORUM: usize = 2;
 
 /// An instance's word that another one no longer answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SilenceReport {
+pub struct FailureReport {
     /// The silent instance.
     pub name: InstanceName,
     /// Its incarnation.
@@ -39,7 +39,7 @@
     /// A heartbeat of another instance.
     Beat(InstanceHeartbeat),
     /// A silent instance.
-    Silence(SilenceReport),
+    Silence(FailureReport),
 }
 
 /// One message of an exchange.
--- a/crates/hibiscus-membership/src/rings.rs
+++ b/crates/hibiscus-membership/src/rings.rs
@@ -13,7 +13,7 @@
 use hibiscus_types::hash::stable_hash;
 
 /// Other instances up to which an instance watches all of them.
-pub const FULL_WATCH_LIMIT: usize = 8;
+pub const FULL_MONITORING_LIMIT: usize = 8;
 /// Rings: as many watch an instance, so that one wrong one is outvoted.
 pub const RING_COUNT: u64 = 4;
 /// Instances that one watches on a ring at most, after the loss of many.
@@ -21,12 +21,12 @@
 
 /// The names of the other instances, in the order of each ring.
 #[derive(Clone, Debug)]
-pub struct WatchRings {
+pub struct MonitorRings {
     own: InstanceName,
     rings: Vec<BTreeSet<(u64, InstanceName)>>,
 }
 
-impl WatchRings {
+impl MonitorRings {
     /// Rings on which only `own` stands.
     pub fn new(own: InstanceName) -> Self {
         Self {
@@ -54,7 +54,7 @@
     pub fn watched(&self, answers: impl Fn(&InstanceName) -> bool) -> BTreeSet<InstanceName> {
         let mut watched = BTreeSet::new();
         for (number, ring) in (0..).zip(&self.rings) {
-            if ring.len() <= FULL_WATCH_LIMIT {
+            if ring.len() <= FULL_MONITORING_LIMIT {
                 watched.extend(ring.iter().map(|(_place, name)| name.clone()));
                 continue;
             }
--- a/crates/hibiscus-membership/src/verdict.rs
+++ b/crates/hibiscus-membership/src/suspicion.rs
@@ -7,18 +7,18 @@
 
 /// What a watcher found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WatchFinding {
+pub enum MonitorFinding {
     /// The process serves.
-    Answers,
+    Responsive,
     /// The process does not answer, or does not serve.
-    Silent,
+    Unresponsive,
     /// The watcher watches it no more.
     Withdrawn,
 }
 
 /// What a watcher says of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SilenceVerdict {
+pub struct FailureSuspicion {
     /// The instance.
     pub subject: InstanceName,
     /// Its process.
@@ -30,14 +30,14 @@
     /// The watcher's counter: of two verdicts the higher one holds.
     pub version: u64,
     /// What it found.
-    pub finding: WatchFinding,
+    pub finding: MonitorFinding,
 }
 
 /// Verdicts that one instance passes on to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SilenceMessage {
+pub struct SuspicionMessage {
     /// Whether the sender asks for all that is known.
     pub joining: bool,
     /// The verdicts.
-    pub verdicts: Vec<SilenceVerdict>,
+    pub verdicts: Vec<FailureSuspicion>,
 }
--- a/crates/hibiscus-membership/src/view.rs
+++ b/crates/hibiscus-membership/src/view.rs
@@ -14,17 +14,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::gossip::FAILURE_REPORT_QUORUM;
+use crate::gossip::FailureReport;
 use crate::gossip::GossipItem;
 use crate::gossip::GossipMessage;
 use crate::gossip::NEWS_LIMIT;
 use crate::gossip::NEWS_REPEATS;
 use crate::gossip::REPAIR_ITEMS;
-use crate::gossip::SILENCE_REPORTS;
-use crate::gossip::SilenceReport;
 use crate::neighbours;
 
 /// Time without a heartbeat after which a neighbour counts as silent.
-pub const SILENCE_LIMIT: Duration = Duration::from_secs(4);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Times that an instance asks for all heartbeats after its start.
 const WHOLE_ASKS: u32 = 16;
@@ -120,7 +120,7 @@
 
 impl FleetView {
     /// Names the instance whose view this is.
-    pub fn set_own(&mut self, own: &InstanceName) {
+    pub fn set_own_name(&mut self, own: &InstanceName) {
         self.own = own.clone();
         self.choose_neighbours();
     }
@@ -155,14 +155,14 @@
     }
 
     /// Whether a neighbour was never heard of.
-    pub fn awaits_neighbours(&self) -> bool {
+    pub fn has_unknown_neighbours(&self) -> bool {
         let mut names = self.neighbours.iter();
         names.any(|name| !self.known.contains_key(name))
     }
 
     /// Takes a heartbeat that its own instance sent and that arrived at
     /// `now`.
-    pub fn hear(&mut self, beat: InstanceHeartbeat, now: UnixMillis) {
+    pub fn receive_heartbeat(&mut self, beat: InstanceHeartbeat, now: UnixMillis) {
         let name = beat.name.clone();
         let incarnation = beat.incarnation;
         if self.learn(beat.clone(), now) {
@@ -235,7 +235,7 @@
     }
 
     /// Takes another instance's word that one is silent.
-    fn learn_silence(&mut self, report: SilenceReport) {
+    fn learn_silence(&mut self, report: FailureReport) {
         let Some(known) = self.known.get_mut(&report.name) else {
             return;
         };
@@ -356,8 +356,8 @@
     }
 
     /// Takes a message that arrived at `now`.
-    pub fn take_message(&mut self, message: GossipMessage, now: UnixMillis) {
-        self.hear(message.beat, now);
+    pub fn receive_message(&mut self, message: GossipMessage, now: UnixMillis) {
+        self.receive_heartbeat(message.beat, now);
         // All heartbeats, for one who joins, are no news to the others.
         let whole = message.items.len() > NEWS_LIMIT + REPAIR_ITEMS;
         for item in message.items {
@@ -374,8 +374,8 @@
     }
 
     /// Reports neighbours that have fallen silent, and names them.
-    pub fn note_silence(&mut self, now: UnixMillis) -> Vec<InstanceName> {
-        let silence_ms = u64::try_from(SILENCE_LIMIT.as_millis()).unwrap_or(u64::MAX);
+    pub fn report_silent_neighbours(&mut self, now: UnixMillis) -> Vec<InstanceName> {
+        let silence_ms = u64::try_from(HEARTBEAT_TIMEOUT.as_millis()).unwrap_or(u64::MAX);
         let mut silent = Vec::new();
         for name in &self.neighbours {
             let Some(known) = self.known.get(name) else {
@@ -383,8 +383,8 @@
             };
             let incarnation = known.beat.incarnation;
             let told = self.reported.get(name) == Some(&incarnation);
-            if !told && now.since(known.heard_at) > SILENCE_LIMIT {
-                silent.push(SilenceReport {
+            if !told && now.since(known.heard_at) > HEARTBEAT_TIMEOUT {
+                silent.push(FailureReport {
                     name: name.clone(),
                     incarnation,
                     uptime_ms: known.beat.uptime_ms + silence_ms,
@@ -418,12 +418,12 @@
     }
 
     /// The last heartbeat of `name`.
-    pub fn beat_of(&self, name: &InstanceName) -> Option<&InstanceHeartbeat> {
+    pub fn heartbeat_of(&self, name: &InstanceName) -> Option<&InstanceHeartbeat> {
         self.known.get(name).map(|known| &known.beat)
     }
 
     /// Whether most of the listed instances were heard of.
-    pub fn knows_most(&self) -> bool {
+    pub fn knows_majority(&self) -> bool {
         self.known.len() * 2 > self.instances.len()
     }
 
@@ -432,7 +432,7 @@
     pub fn newest_config(&self, now: UnixMillis) -> Option<(&FleetInstance, u64)> {
         let mut newest = None;
         for (name, known) in &self.known {
-            let recent = known.direct && now.since(known.heard_at) <= SILENCE_LIMIT;
+            let recent = known.direct && now.since(known.heard_at) <= HEARTBEAT_TIMEOUT;
             if *name == self.own || !recent {
                 continue;
             }
@@ -449,9 +449,9 @@
     /// tell.
     fn is_silent(&self, name: &InstanceName, known: &KnownInstance, now: UnixMillis) -> bool {
         if self.neighbours.contains(name) {
-            return now.since(known.heard_at) > SILENCE_LIMIT;
+            return now.since(known.heard_at) > HEARTBEAT_TIMEOUT;
         }
-        *name != self.own && known.reports.len() >= SILENCE_REPORTS
+        *name != self.own && known.reports.len() >= FAILURE_REPORT_QUORUM
     }
 
     /// The instances of [`Self::ready`] that have a configuration to decide
@@ -459,7 +459,7 @@
     pub fn serving(&self, now: UnixMillis) -> Vec<FleetInstance> {
         let mut serving = self.ready(now);
         serving.retain(|instance| {
-            let beat = self.beat_of(&instance.name);
+            let beat = self.heartbeat_of(&instance.name);
             beat.is_some_and(|beat| beat.configured)
         });
         serving
@@ -486,7 +486,7 @@
 
     /// Requests in progress at `name`, as last heard.
     pub fn load_of(&self, name: &InstanceName) -> u32 {
-        self.beat_of(name).map_or(0, |beat| beat.load)
+        self.heartbeat_of(name).map_or(0, |beat| beat.load)
     }
 }
 
--- a/crates/hibiscus-membership/tests/silence.rs
+++ b/crates/hibiscus-membership/tests/detector.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hibiscus_membership::rings::FULL_WATCH_LIMIT;
+use hibiscus_membership::detector::FailureDetector;
+use hibiscus_membership::detector::SUSPICION_LIMIT;
+use hibiscus_membership::rings::FULL_MONITORING_LIMIT;
 use hibiscus_membership::rings::RING_COUNT;
-use hibiscus_membership::silence::SilenceBoard;
-use hibiscus_membership::silence::VERDICT_LIMIT;
-use hibiscus_membership::verdict::SilenceMessage;
-use hibiscus_membership::verdict::SilenceVerdict;
-use hibiscus_membership::verdict::WatchFinding;
+use hibiscus_membership::suspicion::FailureSuspicion;
+use hibiscus_membership::suspicion::MonitorFinding;
+use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_types::IncarnationId;
 use hibiscus_types::InstanceName;
 use hibiscus_types::codec;
@@ -46,7 +46,7 @@
 
 /// One machine.
 struct Machine {
-    board: SilenceBoard,
+    detector: FailureDetector,
     incarnation: u128,
     runs: bool,
     cut: bool,
@@ -79,17 +79,17 @@
         };
         for number in 0..count {
             let mut machine = Machine {
-                board: SilenceBoard::new(name(number), IncarnationId::from_u128(1)),
+                detector: FailureDetector::new(name(number), IncarnationId::from_u128(1)),
                 incarnation: 1,
                 runs: true,
                 cut: false,
             };
             for other in 0..count {
                 let incarnation = IncarnationId::from_u128(1);
-                let board = &mut machine.board;
-                board.announce(&name(other), incarnation, false, Duration::ZERO);
+                let detector = &mut machine.detector;
+                detector.announce(&name(other), incarnation, false, Duration::ZERO);
             }
-            machine.board.tick(Duration::ZERO);
+            machine.detector.tick(Duration::ZERO);
             fleet.machines.push(machine);
         }
         // All are past their start.
@@ -116,7 +116,7 @@
             self.exchange();
             let now = self.now();
             for machine in &mut self.machines {
-                machine.board.tick(now);
+                machine.detector.tick(now);
             }
         }
     }
@@ -127,20 +127,20 @@
             if !self.machines[number].runs || !(self.round + number).is_multiple_of(ASK_ROUNDS) {
                 continue;
             }
-            for watched in self.machines[number].board.watched().clone() {
+            for watched in self.machines[number].detector.monitored().clone() {
                 let other = self.numbers[&watched];
                 let broken = self.broken == Some((number, other));
                 let serves = self.reaches(number, other) && !broken;
                 self.messages += 2;
                 let incarnation = IncarnationId::from_u128(self.machines[other].incarnation);
-                let board = &mut self.machines[number].board;
-                board.note(&watched, incarnation, serves, now);
+                let detector = &mut self.machines[number].detector;
+                detector.record_finding(&watched, incarnation, serves, now);
             }
         }
     }
 
     fn contacts(&self, number: usize) -> Vec<usize> {
-        let contacts = self.machines[number].board.contacts();
+        let contacts = self.machines[number].detector.contacts();
         contacts.map(|contact| self.numbers[contact]).collect()
     }
 
@@ -150,7 +150,7 @@
             if !machine.runs {
                 continue;
             }
-            let Some(message) = machine.board.next_news() else {
+            let Some(message) = machine.detector.next_update() else {
                 continue;
             };
             for contact in self.contacts(number) {
@@ -170,27 +170,27 @@
                 continue;
             }
             let contact = contacts[self.draws.below(contacts.len())];
-            let message = self.machines[number].board.next_exchange();
+            let message = self.machines[number].detector.next_exchange();
             let joining = message.joining;
             if self.send(number, contact, message) && joining {
-                self.machines[number].board.note_joined();
+                self.machines[number].detector.record_join_response();
             }
         }
     }
 
     /// Sends a message; true when its answer came.
-    fn send(&mut self, from: usize, to: usize, message: SilenceMessage) -> bool {
+    fn send(&mut self, from: usize, to: usize, message: SuspicionMessage) -> bool {
         let now = self.now();
         self.messages += 1;
         if !self.reaches(from, to) || self.draws.below(100) < self.lost {
             return false;
         }
-        let answer = self.machines[to].board.take(message, now);
+        let answer = self.machines[to].detector.receive(message, now);
         self.messages += 1;
         if self.draws.below(100) < self.lost {
             return false;
         }
-        self.machines[from].board.take_answer(answer, now);
+        self.machines[from].detector.receive_response(answer, now);
         true
     }
 
@@ -201,16 +201,18 @@
     fn restart(&mut self, number: usize, incarnation: u128) {
         let process = IncarnationId::from_u128(incarnation);
         let now = self.now();
-        let mut board = SilenceBoard::new(name(number), process);
+        let mut detector = FailureDetector::new(name(number), process);
         for (other, machine) in self.machines.iter_mut().enumerate() {
             let theirs = IncarnationId::from_u128(machine.incarnation);
-            board.announce(&name(other), theirs, false, now);
-            machine.board.announce(&name(number), process, false, now);
-            machine.board.tick(now);
+            detector.announce(&name(other), theirs, false, now);
+            machine
+                .detector
+                .announce(&name(number), process, false, now);
+            machine.detector.tick(now);
         }
-        board.tick(now);
+        detector.tick(now);
         self.machines[number] = Machine {
-            board,
+            detector,
             incarnation,
             runs: true,
             cut: false,
@@ -224,13 +226,13 @@
             .iter()
             .filter(|machine| machine.runs && !machine.cut);
         sound
-            .filter(|machine| machine.board.is_silent(&name(number)))
+            .filter(|machine| machine.detector.is_unresponsive(&name(number)))
             .count()
     }
 
     /// Those that watch `number`.
     fn watchers(&self, number: usize) -> Vec<usize> {
-        let watches = |machine: &Machine| machine.board.watched().contains(&name(number));
+        let watches = |machine: &Machine| machine.detector.monitored().contains(&name(number));
         let machines = self.machines.iter().enumerate();
         machines
             .filter(|(_number, machine)| watches(machine))
@@ -246,14 +248,14 @@
     for count in [62, 810] {
         let mut watchers: BTreeMap<InstanceName, usize> = BTreeMap::new();
         for number in 0..count {
-            let mut board = SilenceBoard::new(name(number), IncarnationId::from_u128(1));
+            let mut detector = FailureDetector::new(name(number), IncarnationId::from_u128(1));
             for other in 0..count {
                 let incarnation = IncarnationId::from_u128(1);
-                board.announce(&name(other), incarnation, false, Duration::ZERO);
+                detector.announce(&name(other), incarnation, false, Duration::ZERO);
             }
-            board.tick(Duration::ZERO);
-            assert!(board.watched().len() <= rings, "{count} instances");
-            for watched in board.watched() {
+            detector.tick(Duration::ZERO);
+            assert!(detector.monitored().len() <= rings, "{count} instances");
+            for watched in detector.monitored() {
                 *watchers.entry(watched.clone()).or_default() += 1;
             }
         }
@@ -267,9 +269,9 @@
 /// Guards against a small fleet that learns of a death by hearsay.
 #[test]
 fn all_instances_of_a_small_fleet_watch_all_others() {
-    let fleet = Fleet::new(FULL_WATCH_LIMIT + 1);
-    for number in 0..=FULL_WATCH_LIMIT {
-        assert_eq!(fleet.watchers(number).len(), FULL_WATCH_LIMIT);
+    let fleet = Fleet::new(FULL_MONITORING_LIMIT + 1);
+    for number in 0..=FULL_MONITORING_LIMIT {
+        assert_eq!(fleet.watchers(number).len(), FULL_MONITORING_LIMIT);
         assert_eq!(fleet.holding_silent(number), 0);
     }
 }
@@ -344,8 +346,8 @@
 
 /// The verdict that `reporter` gives on `subject` in a fleet of first
 /// processes.
-fn verdict(reporter: usize, subject: usize, finding: WatchFinding) -> SilenceVerdict {
-    SilenceVerdict {
+fn verdict(reporter: usize, subject: usize, finding: MonitorFinding) -> FailureSuspicion {
+    FailureSuspicion {
         subject: name(subject),
         incarnation: IncarnationId::from_u128(1),
         reporter: name(reporter),
@@ -376,14 +378,14 @@
 fn a_wrong_verdict_of_a_watcher_that_dies_holds_for_nobody() {
     let mut fleet = Fleet::new(62);
     let watchers = fleet.watchers(9);
-    let wrong = SilenceMessage {
+    let wrong = SuspicionMessage {
         joining: false,
-        verdicts: vec![verdict(watchers[0], 9, WatchFinding::Silent)],
+        verdicts: vec![verdict(watchers[0], 9, MonitorFinding::Unresponsive)],
     };
     let told = (0..62).find(|number| *number != 9 && !watchers.contains(number));
     let told = told.expect("there are 62");
     let now = fleet.now();
-    fleet.machines[told].board.take(wrong, now);
+    fleet.machines[told].detector.receive(wrong, now);
     fleet.kill(watchers[0]);
     for _round in 0..4 * KNOWN_ROUNDS {
         fleet.rounds(1);
@@ -400,16 +402,16 @@
     let watchers = fleet.watchers(9);
     assert!(watchers.len() > 2);
     let wrong = watchers[1..].iter();
-    let wrong = wrong.map(|watcher| verdict(*watcher, 9, WatchFinding::Silent));
-    let message = SilenceMessage {
+    let wrong = wrong.map(|watcher| verdict(*watcher, 9, MonitorFinding::Unresponsive));
+    let message = SuspicionMessage {
         joining: false,
         verdicts: wrong.collect(),
     };
     let told = (0..62).find(|number| *number != 9 && !watchers.contains(number));
     let told = told.expect("there are 62");
     let now = fleet.now();
-    fleet.machines[told].board.take(message, now);
-    assert!(fleet.machines[told].board.is_silent(&name(9)));
+    fleet.machines[told].detector.receive(message, now);
+    assert!(fleet.machines[told].detector.is_unresponsive(&name(9)));
     for watcher in &watchers[1..] {
         fleet.kill(*watcher);
     }
@@ -422,21 +424,21 @@
 #[test]
 fn a_fleet_that_starts_watches_no_more_than_one_at_rest() {
     let rings = usize::try_from(RING_COUNT).expect("small");
-    let mut board = SilenceBoard::new(name(0), IncarnationId::from_u128(1));
+    let mut detector = FailureDetector::new(name(0), IncarnationId::from_u128(1));
     let first = IncarnationId::from_u128(1);
     for other in 1..62 {
-        board.announce(&name(other), first, false, Duration::ZERO);
+        detector.announce(&name(other), first, false, Duration::ZERO);
     }
-    board.tick(Duration::ZERO);
+    detector.tick(Duration::ZERO);
     let early = Duration::from_millis(100);
-    for watched in board.watched().clone() {
-        board.note(&watched, first, false, early);
-    }
-    assert!(board.watched().len() <= rings);
-    assert!(!board.has_news());
-    board.tick(Duration::from_secs(3));
-    assert!(board.watched().len() > rings);
-    assert!(board.has_news());
+    for watched in detector.monitored().clone() {
+        detector.record_finding(&watched, first, false, early);
+    }
+    assert!(detector.monitored().len() <= rings);
+    assert!(!detector.has_updates());
+    detector.tick(Duration::from_secs(3));
+    assert!(detector.monitored().len() > rings);
+    assert!(detector.has_updates());
 }
 
 /// Guards against an instance that nobody reports, since its watchers died
@@ -475,7 +477,7 @@
     fleet.rounds(2 * KNOWN_ROUNDS);
     fleet.restart(4, 2);
     fleet.rounds(EXCHANGE_ROUNDS + 1);
-    assert!(fleet.machines[4].board.is_silent(&name(3)));
+    assert!(fleet.machines[4].detector.is_unresponsive(&name(3)));
 }
 
 /// Guards against an answer that the link between instances refuses for its
@@ -488,32 +490,32 @@
         InstanceName::from(format!("front-tx-central-availability-{number:04}").as_str())
     };
     let process = IncarnationId::from_u128(u128::MAX);
-    let mut board = SilenceBoard::new(long(0), process);
+    let mut detector = FailureDetector::new(long(0), process);
     for other in 1..MEMBERS {
-        board.announce(&long(other), process, false, Duration::ZERO);
+        detector.announce(&long(other), process, false, Duration::ZERO);
     }
     for subject in 1..MEMBERS {
         for reporter in 1..=4 {
-            let verdict = SilenceVerdict {
+            let verdict = FailureSuspicion {
                 subject: long(subject),
                 incarnation: process,
                 reporter: long(1 + (subject + reporter * 7) % (MEMBERS - 1)),
                 process,
                 version: u64::MAX,
-                finding: WatchFinding::Silent,
+                finding: MonitorFinding::Unresponsive,
             };
-            let message = SilenceMessage {
+            let message = SuspicionMessage {
                 joining: false,
                 verdicts: vec![verdict],
             };
-            board.take(message, Duration::ZERO);
+            detector.receive(message, Duration::ZERO);
         }
     }
-    let question = SilenceMessage {
+    let question = SuspicionMessage {
         joining: true,
         verdicts: Vec::new(),
     };
-    let answer = board.take(question, Duration::ZERO);
+    let answer = detector.receive(question, Duration::ZERO);
     assert!(answer.verdicts.len() > 100);
     let bytes = codec::encode(&answer).expect("a message").len();
     assert!(bytes < MESSAGE_BYTES, "{bytes} bytes");
@@ -523,85 +525,85 @@
 /// was said of one.
 #[test]
 fn a_verdict_holds_for_one_process_and_gives_way_to_a_newer_one() {
-    let mut board = SilenceBoard::new(name(0), IncarnationId::from_u128(1));
+    let mut detector = FailureDetector::new(name(0), IncarnationId::from_u128(1));
     for other in 1..62 {
         let incarnation = IncarnationId::from_u128(1);
-        board.announce(&name(other), incarnation, false, Duration::ZERO);
+        detector.announce(&name(other), incarnation, false, Duration::ZERO);
     }
-    board.tick(Duration::ZERO);
-    let mut others = (1..62).filter(|other| !board.watched().contains(&name(*other)));
+    detector.tick(Duration::ZERO);
+    let mut others = (1..62).filter(|other| !detector.monitored().contains(&name(*other)));
     let subject = others.next().expect("few are watched");
     let reporters = [others.next(), others.next()].map(|other| other.expect("few are watched"));
-    let message = |finding, version| SilenceMessage {
+    let message = |finding, version| SuspicionMessage {
         joining: false,
         verdicts: reporters
-            .map(|reporter| SilenceVerdict {
+            .map(|reporter| FailureSuspicion {
                 version,
                 ..verdict(reporter, subject, finding)
             })
             .into(),
     };
     let late = Duration::from_secs(60);
-    board.take(message(WatchFinding::Silent, 5), late);
-    assert!(board.is_silent(&name(subject)));
-    board.take(message(WatchFinding::Answers, 4), late);
-    assert!(board.is_silent(&name(subject)));
-    board.take(message(WatchFinding::Answers, 6), late);
-    assert!(!board.is_silent(&name(subject)));
-    board.take(message(WatchFinding::Silent, 7), late);
+    detector.receive(message(MonitorFinding::Unresponsive, 5), late);
+    assert!(detector.is_unresponsive(&name(subject)));
+    detector.receive(message(MonitorFinding::Responsive, 4), late);
+    assert!(detector.is_unresponsive(&name(subject)));
+    detector.receive(message(MonitorFinding::Responsive, 6), late);
+    assert!(!detector.is_unresponsive(&name(subject)));
+    detector.receive(message(MonitorFinding::Unresponsive, 7), late);
     let second = IncarnationId::from_u128(2);
-    board.announce(&name(subject), second, false, late);
-    board.take(message(WatchFinding::Silent, 8), late);
-    assert!(!board.is_silent(&name(subject)));
-    board.announce(&name(subject), second, false, late);
-    board.announce(&name(reporters[0]), second, false, late);
-    assert!(!board.is_silent(&name(subject)));
+    detector.announce(&name(subject), second, false, late);
+    detector.receive(message(MonitorFinding::Unresponsive, 8), late);
+    assert!(!detector.is_unresponsive(&name(subject)));
+    detector.announce(&name(subject), second, false, late);
+    detector.announce(&name(reporters[0]), second, false, late);
+    assert!(!detector.is_unresponsive(&name(subject)));
 }
 
 /// Guards against a majority of watchers that do not answer themselves.
 #[test]
 fn what_silent_watchers_say_does_not_count() {
-    let mut board = SilenceBoard::new(name(0), IncarnationId::from_u128(1));
+    let mut detector = FailureDetector::new(name(0), IncarnationId::from_u128(1));
     for other in 1..62 {
         let incarnation = IncarnationId::from_u128(1);
-        board.announce(&name(other), incarnation, false, Duration::ZERO);
+        detector.announce(&name(other), incarnation, false, Duration::ZERO);
     }
-    board.tick(Duration::ZERO);
-    let others = (1..62).filter(|other| !board.watched().contains(&name(*other)));
+    detector.tick(Duration::ZERO);
+    let others = (1..62).filter(|other| !detector.monitored().contains(&name(*other)));
     let others: Vec<usize> = others.collect();
     let (subject, affirming) = (others[0], others[1]);
     let accusing = &others[2..5];
-    let mut verdicts = vec![verdict(affirming, subject, WatchFinding::Answers)];
+    let mut verdicts = vec![verdict(affirming, subject, MonitorFinding::Responsive)];
     for accuser in accusing {
-        verdicts.push(verdict(*accuser, subject, WatchFinding::Silent));
+        verdicts.push(verdict(*accuser, subject, MonitorFinding::Unresponsive));
     }
     let late = Duration::from_secs(60);
-    board.take(
-        SilenceMessage {
+    detector.receive(
+        SuspicionMessage {
             joining: false,
             verdicts,
         },
         late,
     );
-    assert!(board.is_silent(&name(subject)));
+    assert!(detector.is_unresponsive(&name(subject)));
     let mut verdicts = Vec::new();
     for accuser in accusing {
         for watcher in &others[5..7] {
-            verdicts.push(verdict(*watcher, *accuser, WatchFinding::Silent));
+            verdicts.push(verdict(*watcher, *accuser, MonitorFinding::Unresponsive));
         }
     }
-    board.take(
-        SilenceMessage {
+    detector.receive(
+        SuspicionMessage {
             joining: false,
             verdicts,
         },
         late,
     );
-    assert!(!board.is_silent(&name(subject)));
+    assert!(!detector.is_unresponsive(&name(subject)));
     assert!(
         accusing
             .iter()
-            .all(|accuser| board.is_silent(&name(*accuser)))
+            .all(|accuser| detector.is_unresponsive(&name(*accuser)))
     );
 }
 
@@ -616,10 +618,10 @@
         fleet.round += 1;
         fleet.ask();
         for machine in &mut fleet.machines {
-            let mut board = machine.board.clone();
-            let news = board.next_news().unwrap_or_default();
-            assert!(news.verdicts.len() <= VERDICT_LIMIT);
-            assert!(board.next_exchange().verdicts.len() <= VERDICT_LIMIT);
+            let mut detector = machine.detector.clone();
+            let news = detector.next_update().unwrap_or_default();
+            assert!(news.verdicts.len() <= SUSPICION_LIMIT);
+            assert!(detector.next_exchange().verdicts.len() <= SUSPICION_LIMIT);
         }
         fleet.pass_news();
     }
--- a/crates/hibiscus-membership/tests/view.rs
+++ b/crates/hibiscus-membership/tests/view.rs
@@ -115,7 +115,7 @@
             assert_eq!(held.name, old.name);
             assert!(member.view.instance_of(old.incarnation).is_none());
             // A late message of the old incarnation changes nothing.
-            member.view.hear(old.clone(), fleet.now);
+            member.view.receive_heartbeat(old.clone(), fleet.now);
             assert!(member.view.instance_of(old.incarnation).is_none());
         }
     }
@@ -198,7 +198,7 @@
     fleet.members[9].beat.stopping = true;
     rounds(&mut fleet, SETTLE_ROUNDS);
     for (number, member) in fleet.members.iter().enumerate() {
-        let known = member.view.beat_of(&all[9].name);
+        let known = member.view.heartbeat_of(&all[9].name);
         if (number + 7) % 60 == 9 {
             assert_eq!(member.view.ready(fleet.now).len(), 59);
             continue;
@@ -226,13 +226,13 @@
 fn address_answers_are_stable_and_pass_over_a_loaded_instance() {
     let ready: Vec<FleetInstance> = (0..9).map(|number| gossip::instance(number, 3)).collect();
     let here = ready[0].data_centre.clone();
-    let idle = address::answer_by_load("caller", &here, &ready, |_instance| 0);
+    let idle = address::rank_addresses_by_load("caller", &here, &ready, |_instance| 0);
     let first = idle.addresses[0];
     let steady = |held: &FleetInstance| u32::from(held.callers == first) * 10;
     let busy = |held: &FleetInstance| u32::from(held.callers == first) * 1_000;
-    let same = address::answer_by_load("caller", &here, &ready, steady);
+    let same = address::rank_addresses_by_load("caller", &here, &ready, steady);
     assert_eq!(same, idle);
-    let other = address::answer_by_load("caller", &here, &ready, busy);
+    let other = address::rank_addresses_by_load("caller", &here, &ready, busy);
     assert_ne!(other.addresses[0], first);
     let near: Vec<_> = ready
         .iter()
--- a/crates/hibiscus-peer/src/pinned.rs
+++ b/crates/hibiscus-peer/src/pinned.rs
@@ -257,7 +257,7 @@
 
 impl PinnedCall {
     /// Whether the peer still waits, as far as is known here.
-    pub fn is_wanted(&self) -> bool {
+    pub fn is_caller_waiting(&self) -> bool {
         !self.reply.is_closed()
     }
 
--- a/crates/hibiscus-peer/tests/overload.rs
+++ b/crates/hibiscus-peer/tests/overload.rs
@@ -183,15 +183,18 @@
         assert_eq!(reply, None);
         let call = received.expect("a call");
         for _look in 0..1_000 {
-            if !call.is_wanted() {
+            if !call.is_caller_waiting() {
                 break;
             }
             tokio::time::sleep(LOOK_PAUSE).await;
         }
-        assert!(!call.is_wanted(), "the caller is not known to have left");
+        assert!(
+            !call.is_caller_waiting(),
+            "the caller is not known to have left"
+        );
         let (reply, wanted) = tokio::join!(own.link.call(slow.address, b"abc", LIMIT), async {
             let call = slow.calls.recv().await.expect("a call");
-            let wanted = call.is_wanted();
+            let wanted = call.is_caller_waiting();
             call.reply(b"now".to_vec());
             wanted
         });
--- a/crates/hibiscus-router/src/callers/address.rs
+++ b/crates/hibiscus-router/src/callers/address.rs
@@ -39,7 +39,7 @@
     let serving = fleet.serving(UnixMillis::now());
     let nearby = &context.settings.instance.data_centre;
     let load_of = |instance: &FleetInstance| fleet.load_of(&instance.name);
-    let mut answer = address::answer_by_load(&caller, nearby, &serving, load_of);
+    let mut answer = address::rank_addresses_by_load(&caller, nearby, &serving, load_of);
     drop(fleet);
     answer.lifetime_s = context.settings.address_lifetime().as_secs();
     let head = AnswerHead {
--- a/crates/hibiscus-router/src/config/peers.rs
+++ b/crates/hibiscus-router/src/config/peers.rs
@@ -101,7 +101,7 @@
 fn newest_peer(context: &SharedContext, started: Instant) -> Option<SocketAddr> {
     let own = context.config.get().version;
     let fleet = context.fleet.lock();
-    if own == 0 && started.elapsed() < FIRST_WAIT && !fleet.knows_most() {
+    if own == 0 && started.elapsed() < FIRST_WAIT && !fleet.knows_majority() {
         return None;
     }
     let (peer, version) = fleet.newest_config(UnixMillis::now())?;
--- a/crates/hibiscus-router/src/holder/grants.rs
+++ b/crates/hibiscus-router/src/holder/grants.rs
@@ -61,7 +61,7 @@
     }
     let mut witnesses = Vec::with_capacity(WITNESSES);
     for instance in chosen {
-        let Some(beat) = fleet.beat_of(&instance.name) else {
+        let Some(beat) = fleet.heartbeat_of(&instance.name) else {
             continue;
         };
         witnesses.push(beat.incarnation);
--- a/crates/hibiscus-router/src/ledger/reclaim.rs
+++ b/crates/hibiscus-router/src/ledger/reclaim.rs
@@ -95,7 +95,7 @@
 /// Looks for the holder under its instance's name.
 fn sign_of(context: &SharedContext, state: &GrantState) -> HolderSign {
     let fleet = context.fleet.lock();
-    let Some(beat) = fleet.beat_of(&state.grant.instance) else {
+    let Some(beat) = fleet.heartbeat_of(&state.grant.instance) else {
         return HolderSign::Silent;
     };
     if beat.incarnation > state.grant.holder {
--- a/crates/hibiscus-router/src/membership/mod.rs
+++ b/crates/hibiscus-router/src/membership/mod.rs
@@ -122,7 +122,7 @@
 /// process ends.
 pub fn beat(context: &SharedContext, thread: usize) {
     let own = &context.settings.instance.name;
-    context.fleet.lock().set_own(own);
+    context.fleet.lock().set_own_name(own);
     let mut hurry = HurryState::default();
     let mut silent = SilentNames::new();
     let mut turn = 0;
@@ -169,7 +169,7 @@
 fn note_silence(context: &SharedContext, silent: &mut SilentNames) {
     let now = UnixMillis::now();
     let mut fleet = context.fleet.lock();
-    let fallen = fleet.note_silence(now);
+    let fallen = fleet.report_silent_neighbours(now);
     let ready = fleet.ready(now);
     drop(fleet);
     for instance in ready {
@@ -196,7 +196,7 @@
 fn next_neighbour(context: &SharedContext, thread: usize, turn: usize) -> Option<SocketAddr> {
     let now = UnixMillis::now();
     let mut fleet = context.fleet.lock();
-    fleet.hear(own_heartbeat(context), now);
+    fleet.receive_heartbeat(own_heartbeat(context), now);
     let all = fleet.neighbours().skip(thread).step_by(BEAT_THREADS);
     let share: Vec<SocketAddr> = all.map(|instance| instance.peers).collect();
     if share.is_empty() {
@@ -210,7 +210,10 @@
     let message = context.fleet.lock().message(beat);
     let request = PeerRequest::Heartbeat(message);
     if let Ok(PeerReply::Heartbeat(reply)) = request.call(context, peer, BEAT_TIMEOUT) {
-        context.fleet.lock().take_message(reply, UnixMillis::now());
+        context
+            .fleet
+            .lock()
+            .receive_message(reply, UnixMillis::now());
     }
 }
 
@@ -219,6 +222,6 @@
     let beat = own_heartbeat(context);
     let joining = message.joining;
     let mut fleet = context.fleet.lock();
-    fleet.take_message(message, UnixMillis::now());
+    fleet.receive_message(message, UnixMillis::now());
     fleet.reply(beat, joining)
 }
--- a/crates/hibiscus-support/src/gossip.rs
+++ b/crates/hibiscus-support/src/gossip.rs
@@ -58,7 +58,7 @@
     /// The member of `instance` in a new incarnation, knowing nobody.
     pub fn new(instance: &FleetInstance, listed: &[FleetInstance]) -> Self {
         let mut view = FleetView::default();
-        view.set_own(&instance.name);
+        view.set_own_name(&instance.name);
         view.set_instances(listed.to_vec());
         let beat = InstanceHeartbeat {
             name: instance.name.clone(),
@@ -115,8 +115,8 @@
             let now = self.now;
             let member = &mut self.members[from];
             let beat = member.next_beat(now);
-            member.view.hear(beat, now);
-            member.view.note_silence(now);
+            member.view.receive_heartbeat(beat, now);
+            member.view.report_silent_neighbours(now);
             for to in self.targets(from) {
                 if self.members[to].running && passes(from, to) {
                     self.exchange(from, to);
@@ -155,10 +155,10 @@
         self.count(&message);
         let joining = message.joining;
         let beat = self.members[to].next_beat(now);
-        self.members[to].view.take_message(message, now);
+        self.members[to].view.receive_message(message, now);
         let reply = self.members[to].view.reply(beat, joining);
         self.count(&reply);
-        self.members[from].view.take_message(reply, now);
+        self.members[from].view.receive_message(reply, now);
     }
 
     fn count(&mut self, message: &GossipMessage) {
--- a/crates/hibiscus-traffic/src/change.rs
+++ b/crates/hibiscus-traffic/src/config_delta.rs
@@ -4,7 +4,7 @@
 //! An instance that read a version whole passes on to the others what differs
 //! from the one before, in parts that fit a record of the store. A change
 //! applies to exactly one configuration: the one that follows from all records
-//! of the operators before [`ConfigChange::base`].
+//! of the operators before [`ConfigDelta::base`].
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -32,7 +32,7 @@
 
 /// Why a change cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum ChangeError {
+pub enum DeltaError {
     /// It is larger than one call to the store may be.
     #[error("failed to publish a change of {bytes} bytes: it is too large")]
     TooLarge {
@@ -54,7 +54,7 @@
 }
 
 /// Result of making or applying a change.
-pub type Result<T> = std::result::Result<T, ChangeError>;
+pub type Result<T> = std::result::Result<T, DeltaError>;
 
 /// A piece of a list that changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
 
 /// What makes one configuration out of another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigChange {
+pub struct ConfigDelta {
     /// Offset after the last record of the operators that the configuration
     /// before follows from.
     pub base: u64,
@@ -82,14 +82,14 @@
     pub version: u64,
     routes: Vec<ListEdit<RouteRule>>,
     teams: Vec<ListEdit<TeamRule>>,
-    left_out: Vec<String>,
+    skipped_routes: Vec<String>,
     engines: BTreeMap<ServiceName, EngineShape>,
     connections: BTreeMap<ServiceName, u32>,
     needs_key: bool,
     limits: CallerLimits,
 }
 
-impl ConfigChange {
+impl ConfigDelta {
     /// What makes `after`, which holds at the offset `next`, out of `before`,
     /// which holds at `base`.
     pub fn between(
@@ -102,7 +102,7 @@
             version: after.version,
             routes: edits(&before.routes, &after.routes, |route| &route.name),
             teams: edits(&before.teams, &after.teams, |team| team.name.as_str()),
-            left_out: after.left_out.clone(),
+            skipped_routes: after.skipped_routes.clone(),
             engines: after.engines.clone(),
             connections: after.connections.clone(),
             needs_key: after.needs_key,
@@ -120,7 +120,7 @@
         Ok(FleetConfig {
             version: self.version,
             routes: edited(&before.routes, self.routes)?,
-            left_out: self.left_out,
+            skipped_routes: self.skipped_routes,
             engines: self.engines,
             connections: self.connections,
             teams: edited(&before.teams, self.teams)?,
@@ -138,7 +138,7 @@
         let bytes = codec::encode(self)?;
         let of = bytes.len().div_ceil(PART_BYTES);
         if of > PARTS_LIMIT {
-            return Err(ChangeError::TooLarge { bytes: bytes.len() });
+            return Err(DeltaError::TooLarge { bytes: bytes.len() });
         }
         let mut records = Vec::with_capacity(of);
         for (number, bytes) in bytes.chunks(PART_BYTES).enumerate() {
@@ -195,7 +195,7 @@
                 let kept = first
                     .checked_add(count)
                     .and_then(|end| before.get(first..end));
-                after.extend_from_slice(kept.ok_or(ChangeError::NotOfThis)?);
+                after.extend_from_slice(kept.ok_or(DeltaError::NotOfThis)?);
             }
         }
     }
@@ -213,22 +213,22 @@
 
 /// Puts changes together out of the records that carry them.
 #[derive(Clone, Debug, Default)]
-pub struct ChangeAssembler {
+pub struct DeltaAssembler {
     bytes: Vec<u8>,
     /// Parts of the present change that came.
     parts: usize,
 }
 
-impl ChangeAssembler {
+impl DeltaAssembler {
     /// Takes the next record; the change that it completes.
     ///
     /// # Errors
     ///
     /// Fails when the record, or the change, cannot be decoded.
-    pub fn take(&mut self, record: &[u8]) -> Result<Option<ConfigChange>> {
+    pub fn take(&mut self, record: &[u8]) -> Result<Option<ConfigDelta>> {
         let part: ChangePart<'_> = codec::decode_borrowed(record)?;
         if part.format != CHANGE_FORMAT {
-            return Err(ChangeError::OtherFormat {
+            return Err(DeltaError::OtherFormat {
                 format: part.format,
             });
         }
--- a/crates/hibiscus-traffic/src/directory.rs
+++ b/crates/hibiscus-traffic/src/directory.rs
@@ -11,8 +11,8 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_membership::silence::SilenceBoard;
-use hibiscus_membership::verdict::SilenceMessage;
+use hibiscus_membership::detector::FailureDetector;
+use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_peer::CertificatePin;
 use hibiscus_types::DataCentre;
 use hibiscus_types::IncarnationId;
@@ -55,7 +55,7 @@
     own: InstanceEntry,
     ready: bool,
     others: BTreeMap<InstanceName, KnownInstance>,
-    board: SilenceBoard,
+    board: FailureDetector,
     begun: Instant,
     /// Others that are held to answer.
     answering: u32,
@@ -74,7 +74,7 @@
     /// A directory that knows only its own instance.
     pub fn new(own: InstanceEntry) -> Self {
         Self {
-            board: SilenceBoard::new(own.name.clone(), own.incarnation),
+            board: FailureDetector::new(own.name.clone(), own.incarnation),
             own,
             ready: false,
             others: BTreeMap::new(),
@@ -113,7 +113,7 @@
         }
         let now = self.begun.elapsed();
         let (name, incarnation) = (entry.name.clone(), entry.incarnation);
-        let leaving = entry.leaving;
+        let leaving = entry.shutting_down;
         let Some(known) = self.others.get_mut(&name) else {
             let known = KnownInstance {
                 entry,
@@ -157,7 +157,7 @@
     pub fn note_reachable(&mut self, entry: &InstanceEntry, reachable: bool) {
         let now = self.begun.elapsed();
         self.board
-            .note(&entry.name, entry.incarnation, reachable, now);
+            .record_finding(&entry.name, entry.incarnation, reachable, now);
         self.recount();
     }
 
@@ -168,33 +168,33 @@
     }
 
     /// Takes over what another instance found, and answers it.
-    pub fn take_message(&mut self, message: SilenceMessage) -> SilenceMessage {
-        let answer = self.board.take(message, self.begun.elapsed());
+    pub fn take_message(&mut self, message: SuspicionMessage) -> SuspicionMessage {
+        let answer = self.board.receive(message, self.begun.elapsed());
         self.recount();
         answer
     }
 
     /// Takes over an answer, to a question for all that is known if `joining`.
-    pub fn take_answer(&mut self, answer: SilenceMessage, joining: bool) {
-        self.board.take_answer(answer, self.begun.elapsed());
+    pub fn take_answer(&mut self, answer: SuspicionMessage, joining: bool) {
+        self.board.receive_response(answer, self.begun.elapsed());
         if joining {
-            self.board.note_joined();
+            self.board.record_join_response();
         }
         self.recount();
     }
 
     /// Whether this instance found something that others must learn.
     pub fn has_news(&self) -> bool {
-        self.board.has_news()
+        self.board.has_updates()
     }
 
     /// What others must learn.
-    pub fn next_news(&mut self) -> Option<SilenceMessage> {
-        self.board.next_news()
+    pub fn next_news(&mut self) -> Option<SuspicionMessage> {
+        self.board.next_update()
     }
 
     /// A message that repairs what others missed.
-    pub fn next_exchange(&mut self) -> SilenceMessage {
+    pub fn next_exchange(&mut self) -> SuspicionMessage {
         self.board.next_exchange()
     }
 
@@ -205,14 +205,14 @@
 
     /// The processes that this instance watches.
     pub fn watched(&self) -> Vec<&InstanceEntry> {
-        let watched = self.board.watched().iter();
+        let watched = self.board.monitored().iter();
         let known = watched.filter_map(|name| self.others.get(name));
         known.map(|known| &known.entry).collect()
     }
 
     /// Whether this instance watches the process that announced `entry`.
     pub fn watches(&self, entry: &InstanceEntry) -> bool {
-        self.knows(entry) && self.board.watched().contains(&entry.name)
+        self.knows(entry) && self.board.monitored().contains(&entry.name)
     }
 
     /// Where the instances take questions that learn of news from this one.
@@ -229,7 +229,7 @@
         let mut changed = false;
         let (mut answering, mut remembered) = (0_u32, 0_u32);
         for (name, known) in &mut self.others {
-            let silent = self.board.is_silent(name);
+            let silent = self.board.is_unresponsive(name);
             if silent != known.silent_since.is_some() {
                 changed = true;
                 // In a small fleet the questions tell it.
@@ -313,7 +313,7 @@
     /// This instance and those that answer and do not leave.
     pub fn answering(&self) -> impl Iterator<Item = &InstanceEntry> {
         let others = self.held_to_answer();
-        let others = others.filter(|known| !known.entry.leaving);
+        let others = others.filter(|known| !known.entry.shutting_down);
         others.map(|known| &known.entry).chain([&self.own])
     }
 
@@ -352,7 +352,7 @@
             named.push(&self.own);
         }
         for known in self.held_to_answer() {
-            if !known.entry.leaving {
+            if !known.entry.shutting_down {
                 named.push(&known.entry);
             }
         }
--- a/crates/hibiscus-traffic/src/endings.rs
+++ b/crates/hibiscus-traffic/src/endings.rs
@@ -27,7 +27,7 @@
 use crate::connect;
 use crate::connect::PortState;
 use crate::dialect::RequestDialect;
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 
@@ -211,9 +211,9 @@
 /// Takes note of requests that servers broke off.
 #[derive(Debug, Default)]
 pub struct EndingWatch {
-    cases: RefCell<HashMap<ServerStart, EndingCase>>,
+    cases: RefCell<HashMap<ServerIncarnation, EndingCase>>,
     /// Servers that were found open, and when.
-    open: RefCell<HashMap<ServerStart, Instant>>,
+    open: RefCell<HashMap<ServerIncarnation, Instant>>,
     /// When a server ended last, as far as is known.
     last_end: Cell<Option<Instant>>,
     noted: Notify,
@@ -226,7 +226,7 @@
         if server.is_closed() && request.is_none() {
             return;
         }
-        let process = server.entry.start();
+        let process = server.entry.incarnation();
         let found = self.open.borrow().get(&process).copied();
         if found.is_some_and(|found| found.elapsed() < OPEN_TIME) {
             return;
@@ -268,7 +268,7 @@
 
     /// The look at `server` is over: the requests that broke there.
     fn close(&self, server: &ServerHandle, port: PortState) -> Vec<ExposedRequest> {
-        let process = server.entry.start();
+        let process = server.entry.incarnation();
         if port == PortState::Open {
             let mut open = self.open.borrow_mut();
             open.retain(|_process, found| found.elapsed() < OPEN_TIME);
@@ -282,8 +282,8 @@
 /// Looks at servers that broke requests off for as long as the runtime runs.
 pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     loop {
-        state.endings.noted.notified().await;
-        for server in state.endings.take_new() {
+        state.crash_detector.noted.notified().await;
+        for server in state.crash_detector.take_new() {
             tokio::task::spawn_local(look(Rc::clone(&state), server));
         }
     }
@@ -297,7 +297,7 @@
     } else {
         connect::look_at_port(server.entry.address).await
     };
-    let requests = state.endings.close(&server, port);
+    let requests = state.crash_detector.close(&server, port);
     let entry = &server.entry;
     // One that leaves as planned ends with or without requests on it.
     if port != PortState::Closed || !server.is_serving() {
@@ -320,7 +320,7 @@
         requests.len()
     );
     server.note_closed();
-    state.endings.note_end();
+    state.crash_detector.note_end();
     let now = state.now();
     state.suspects.note_end(&server, &requests, now);
 }
--- a/crates/hibiscus-traffic/src/lib.rs
+++ b/crates/hibiscus-traffic/src/lib.rs
@@ -20,7 +20,7 @@
 //! - [`shares`] divides the machine's memory among them; [`relief`] says what to
 //!   give up as it runs out.
 //! - [`relays`] says which instances read the operators' configuration and the
-//!   servers' entries as they come, [`change`] and [`server_news`] what they pass
+//!   servers' entries as they come, [`config_delta`] and [`server_news`] what they pass
 //!   on to the others.
 //! - [`updates`] is the ring by which the other duties' threads tell news;
 //!   everything is decided on this thread, so nothing here is locked.
@@ -32,8 +32,8 @@
 pub mod bounded;
 pub mod budgets;
 pub mod callers;
-pub mod change;
 pub mod clock;
+pub mod config_delta;
 pub mod connect;
 pub mod dialect;
 pub mod directory;
--- a/crates/hibiscus-traffic/src/life.rs
+++ b/crates/hibiscus-traffic/src/life.rs
@@ -114,7 +114,7 @@
     known: &mut KnownRequest,
 ) -> Result<(AdmittedRequest, ForwardedAnswer)> {
     let (head, body) = request.into_parts();
-    let signs = state.dialect.caller_signs(&head.headers);
+    let signs = state.wire_format.caller_signs(&head.headers);
     let signs = signs.map_err(|_fault| OwnReason::BadRequest)?;
     known.id.clone_from(&signs.id);
     if state.is_closing() {
@@ -148,5 +148,5 @@
     );
     state.measures.own_answer(reason);
     state.measures.ended(known.kind, RequestOutcome::Own, taken);
-    answer::own_answer(&state.dialect, refusal, &known.id)
+    answer::own_answer(&state.wire_format, refusal, &known.id)
 }
--- a/crates/hibiscus-traffic/src/life/admission.rs
+++ b/crates/hibiscus-traffic/src/life/admission.rs
@@ -55,8 +55,8 @@
     known: &mut KnownRequest,
 ) -> Result<AdmittedRequest> {
     let arrived = known.arrived;
-    if let Some(end) = start::wait_end(arrived, signs.deadline, state.now()) {
-        state.wait_known(end).await;
+    if let Some(end) = start::startup_wait_end(arrived, signs.deadline, state.now()) {
+        state.wait_until_configured(end).await;
     }
     let table = state.table().ok_or(OwnReason::NoConfig)?;
     let host = head.headers.get(header::HOST);
@@ -81,7 +81,7 @@
     known.body_read = true;
     let mut headers = head.headers;
     send::strip_connection_headers(&mut headers);
-    state.dialect.strip_own(&mut headers);
+    state.wire_format.strip_own(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let caller = team.as_ref().map(|team| team.name.clone());
     Ok(AdmittedRequest {
--- a/crates/hibiscus-traffic/src/life/forwarding.rs
+++ b/crates/hibiscus-traffic/src/life/forwarding.rs
@@ -246,7 +246,7 @@
         urgency: urgency(admitted),
         resume_after: None,
     };
-    state.dialect.set_server_signs(&signs, &mut headers);
+    state.wire_format.set_server_signs(&signs, &mut headers);
     let outgoing = OutgoingRequest {
         method: &admitted.method,
         target: admitted.identity.target(),
@@ -284,14 +284,14 @@
                 .borrow()
                 .has_other(&admitted.service, &trail.tried)
     };
-    let report = send::send(&state.dialect, flight, &outgoing, has_other).await;
+    let report = send::send(&state.wire_format, flight, &outgoing, has_other).await;
     if report.leaving {
-        state.note_leaving(&chosen.server.entry.start(), "answer");
+        state.note_leaving(&chosen.server.entry.incarnation(), "answer");
     }
     let attempt = SentAttempt {
         server: chosen.server,
         request,
-        endings: Rc::clone(&state.endings),
+        endings: Rc::clone(&state.crash_detector),
         suspects: Rc::clone(&state.suspects),
         suspect,
     };
--- a/crates/hibiscus-traffic/src/machine.rs
+++ b/crates/hibiscus-traffic/src/machine.rs
@@ -76,13 +76,13 @@
 /// Tells once when a level reaches a mark, and again only after it has been
 /// below a lower one, so that a level at the mark is told no more often.
 #[derive(Clone, Copy, Debug)]
-pub struct LevelWatch {
+pub struct ThresholdTrigger {
     high: f64,
     low: f64,
     raised: bool,
 }
 
-impl LevelWatch {
+impl ThresholdTrigger {
     /// Watches for `high`, and for `low` after it.
     pub const fn new(high: f64, low: f64) -> Self {
         Self {
@@ -93,12 +93,12 @@
     }
 
     /// Whether `level` has reached the mark since it was low.
-    pub fn rises(&mut self, level: f64) -> bool {
+    pub fn fires(&mut self, level: f64) -> bool {
         if level < self.low {
             self.raised = false;
         }
-        let rises = !self.raised && level >= self.high;
-        self.raised |= rises;
-        rises
+        let fires = !self.raised && level >= self.high;
+        self.raised |= fires;
+        fires
     }
 }
--- a/crates/hibiscus-traffic/src/members.rs
+++ b/crates/hibiscus-traffic/src/members.rs
@@ -1,7 +1,7 @@
 //! Has other instances watched, and passes on what watchers find.
 //!
 //! Which of them this instance watches and what it must tell, the directory
-//! decides ([`hibiscus_membership::silence`]); here are the tasks and the
+//! decides ([`hibiscus_membership::detector`]); here are the tasks and the
 //! times. News go to the contacts at once, and again after a pause; an
 //! exchange with one of them repairs what got lost.
 
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hibiscus_membership::verdict::SilenceMessage;
+use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_types::IncarnationId;
 use tokio::time::Instant;
 
@@ -39,7 +39,7 @@
         let has_news = state.directory.borrow().has_news();
         let due = if has_news { next_news } else { next_exchange };
         tokio::select! {
-            () = state.members.notified() => {}
+            () = state.membership_changed.notified() => {}
             () = tokio::time::sleep_until(due) => {}
         }
         start_watches(&state, &running, path);
@@ -85,11 +85,11 @@
     probe::watch(Rc::clone(&state), entry, path).await;
     running.borrow_mut().remove(&incarnation);
     // It may have become one to watch again since the last look.
-    state.members.notify_one();
+    state.membership_changed.notify_one();
 }
 
 /// Passes news on to all contacts.
-fn tell_contacts<D: RequestDialect>(state: &Rc<TrafficState<D>>, message: &SilenceMessage) {
+fn tell_contacts<D: RequestDialect>(state: &Rc<TrafficState<D>>, message: &SuspicionMessage) {
     for contact in state.directory.borrow().contacts() {
         tokio::task::spawn_local(tell(Rc::clone(state), contact, message.clone()));
     }
@@ -110,15 +110,15 @@
 async fn tell<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
-    message: SilenceMessage,
+    message: SuspicionMessage,
 ) {
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
     let joining = message.joining;
-    let Some(answer) = peers::tell_silence(&link, contact, message).await else {
+    let Some(answer) = peers::send_suspicions(&link, contact, message).await else {
         return;
     };
     state.directory.borrow_mut().take_answer(answer, joining);
-    state.members.notify_one();
+    state.membership_changed.notify_one();
 }
--- a/crates/hibiscus-traffic/src/model.rs
+++ b/crates/hibiscus-traffic/src/model.rs
@@ -120,7 +120,7 @@
     /// The routes.
     pub routes: Vec<Arc<RouteRule>>,
     /// Names of routes that were left out, since their kind is not known here.
-    pub left_out: Vec<String>,
+    pub skipped_routes: Vec<String>,
     /// Services whose servers are model engines.
     pub engines: BTreeMap<ServiceName, EngineShape>,
     /// Connections that a server of a service accepts from all callers.
@@ -163,8 +163,8 @@
 
 impl ServerEntry {
     /// Its process.
-    pub fn start(&self) -> ServerStart {
-        ServerStart {
+    pub fn incarnation(&self) -> ServerIncarnation {
+        ServerIncarnation {
             server: self.name.clone(),
             started: self.started,
         }
@@ -173,7 +173,7 @@
 
 /// One process of a server: one that starts anew is another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ServerStart {
+pub struct ServerIncarnation {
     /// The server's name.
     pub server: ServerName,
     /// When it had begun, in its own time.
@@ -218,7 +218,7 @@
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Whether it has begun a planned stop.
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// Processor time that its machine gives it, in thousandths of a core.
     pub capacity: u32,
 }
--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -16,7 +16,7 @@
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
 use hibiscus_ledger::account::pace::MachineTime;
-use hibiscus_membership::verdict::SilenceMessage;
+use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_peer::PinnedCall;
 use hibiscus_peer::PinnedLink;
 use hibiscus_types::BudgetName;
@@ -35,14 +35,14 @@
 use crate::suspects::EndingNews;
 
 /// Calls that wait to be answered.
-pub const RING_CAPACITY: usize = 256;
+pub const REQUEST_QUEUE_CAPACITY: usize = 256;
 /// Time for an answer that no request waits for: machines that start together
 /// are slow to accept connections.
 const TIME_LIMIT: Duration = Duration::from_millis(500);
 
 /// A question to another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PeerQuestion {
+pub enum PeerRequest {
     /// Asked by releases before this one, and answered with none: a holder asks
     /// for what a request needs, as others do.
     Tokens {
@@ -68,9 +68,9 @@
         tokens: TokenCount,
     },
     /// Takes over which instances are silent.
-    Silence(SilenceMessage),
+    Suspicions(SuspicionMessage),
     /// Takes over which servers ended, and under which requests.
-    Endings(EndingNews),
+    Crashes(EndingNews),
     /// Tells which process answers for the instance.
     Process,
 }
@@ -82,15 +82,15 @@
     /// Its name.
     pub incarnation: IncarnationId,
     /// The machine's clocks when it had the ports.
-    pub began: MachineTime,
+    pub started_at: MachineTime,
     /// Milliseconds since then.
-    pub age: u64,
+    pub age_ms: u64,
 }
 
 /// The answer to a question.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PeerAnswer {
-    /// The answer to [`PeerQuestion::Tokens`].
+pub enum PeerResponse {
+    /// The answer to [`PeerRequest::Tokens`].
     Tokens(TokenCount),
     /// Milliseconds since the Unix epoch.
     TimeOfDay(u64),
@@ -101,21 +101,21 @@
     /// Tokens came back.
     Returned,
     /// Which instances are silent.
-    Silence(SilenceMessage),
+    Suspicions(SuspicionMessage),
     /// The news of servers that ended were taken over.
-    EndingsTaken,
+    CrashesRecorded,
     /// The process that answers.
     Process(PeerProcess),
 }
 
 /// Answers other instances for as long as the runtime runs.
-pub async fn answer_calls<D: RequestDialect>(
+pub async fn answer_peer_requests<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     mut calls: mpsc::Receiver<PinnedCall>,
 ) {
     while let Some(call) = calls.recv().await {
         state.tally.link_asked.add();
-        let question = match codec::decode::<PeerQuestion>(&call.body) {
+        let question = match codec::decode::<PeerRequest>(&call.body) {
             Ok(question) => question,
             Err(error) => {
                 event!(EventCode::QuestionUnreadable, "cause={error}");
@@ -123,8 +123,8 @@
             }
         };
         // What is given to a peer that has left is lost.
-        let brings = matches!(question, PeerQuestion::Return { .. });
-        if !brings && !call.is_wanted() {
+        let brings = matches!(question, PeerRequest::Return { .. });
+        if !brings && !call.is_caller_waiting() {
             continue;
         }
         tokio::task::spawn_local(answer_call(Rc::clone(&state), question, call));
@@ -134,7 +134,7 @@
 /// Answers one call; a draw may take some time.
 async fn answer_call<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
-    question: PeerQuestion,
+    question: PeerRequest,
     call: PinnedCall,
 ) {
     let answer = answer(&state, &question).await;
@@ -149,7 +149,7 @@
         return;
     }
     // The asker has left and got nothing, so nothing was passed on.
-    if let (PeerQuestion::Reserve { budget, .. }, PeerAnswer::Reserved(tokens)) =
+    if let (PeerRequest::Reserve { budget, .. }, PeerResponse::Reserved(tokens)) =
         (&question, &answer)
     {
         state.budgets.take_back(budget, *tokens);
@@ -159,90 +159,90 @@
 /// Decides on one question.
 async fn answer<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
-    question: &PeerQuestion,
-) -> PeerAnswer {
+    question: &PeerRequest,
+) -> PeerResponse {
     match question {
-        PeerQuestion::Tokens { .. } => PeerAnswer::Tokens(TokenCount::ZERO),
-        PeerQuestion::Process => {
-            let (incarnation, began, age) = state.budgets.process();
-            PeerAnswer::Process(PeerProcess {
+        PeerRequest::Tokens { .. } => PeerResponse::Tokens(TokenCount::ZERO),
+        PeerRequest::Process => {
+            let (incarnation, started_at, age) = state.budgets.process();
+            PeerResponse::Process(PeerProcess {
                 incarnation,
-                began,
-                age: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
+                started_at,
+                age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
             })
         }
-        PeerQuestion::TimeOfDay => PeerAnswer::TimeOfDay(UnixMillis::now().get()),
-        PeerQuestion::Reserve { budget, tokens } => {
+        PeerRequest::TimeOfDay => PeerResponse::TimeOfDay(UnixMillis::now().get()),
+        PeerRequest::Reserve { budget, tokens } => {
             match supply::pass_on(state, budget, *tokens).await {
-                Ok(()) => PeerAnswer::Reserved(*tokens),
-                Err(refusal) => PeerAnswer::Refused(refusal),
+                Ok(()) => PeerResponse::Reserved(*tokens),
+                Err(refusal) => PeerResponse::Refused(refusal),
             }
         }
-        PeerQuestion::Return { .. } if state.budgets.is_closed() => {
-            PeerAnswer::Refused(TokenRefusal::Unconfirmed)
+        PeerRequest::Return { .. } if state.budgets.is_closed() => {
+            PeerResponse::Refused(TokenRefusal::Unconfirmed)
         }
-        PeerQuestion::Return { budget, tokens } => {
+        PeerRequest::Return { budget, tokens } => {
             state.budgets.take_back(budget, *tokens);
-            PeerAnswer::Returned
+            PeerResponse::Returned
         }
-        PeerQuestion::Silence(message) => {
+        PeerRequest::Suspicions(message) => {
             let mut directory = state.directory.borrow_mut();
             let answer = directory.take_message(message.clone());
-            state.members.notify_one();
-            PeerAnswer::Silence(answer)
+            state.membership_changed.notify_one();
+            PeerResponse::Suspicions(answer)
         }
-        PeerQuestion::Endings(news) => {
+        PeerRequest::Crashes(news) => {
             state.take_endings(news);
-            PeerAnswer::EndingsTaken
+            PeerResponse::CrashesRecorded
         }
     }
 }
 
 /// Asks the process that answers for an instance who it is; `None` when it does
 /// not answer.
-pub async fn ask_process(link: &PinnedLink, peer: SocketAddr) -> Option<PeerProcess> {
-    match ask(link, peer, &PeerQuestion::Process, TIME_LIMIT).await? {
-        PeerAnswer::Process(process) => Some(process),
+pub async fn request_process(link: &PinnedLink, peer: SocketAddr) -> Option<PeerProcess> {
+    match ask(link, peer, &PeerRequest::Process, TIME_LIMIT).await? {
+        PeerResponse::Process(process) => Some(process),
         _other => None,
     }
 }
 
 /// Asks one instance for its time of day, in milliseconds since the Unix
 /// epoch; `None` when it does not answer.
-pub async fn ask_time(link: &PinnedLink, peer: SocketAddr) -> Option<u64> {
-    match ask(link, peer, &PeerQuestion::TimeOfDay, TIME_LIMIT).await? {
-        PeerAnswer::TimeOfDay(millis) => Some(millis),
+pub async fn request_time_of_day(link: &PinnedLink, peer: SocketAddr) -> Option<u64> {
+    match ask(link, peer, &PeerRequest::TimeOfDay, TIME_LIMIT).await? {
+        PeerResponse::TimeOfDay(millis) => Some(millis),
         _other => None,
     }
 }
 
 /// Tells one instance which others are silent; `None` when it does not answer.
-pub async fn tell_silence(
+pub async fn send_suspicions(
     link: &PinnedLink,
     peer: SocketAddr,
-    message: SilenceMessage,
-) -> Option<SilenceMessage> {
-    let question = PeerQuestion::Silence(message);
+    message: SuspicionMessage,
+) -> Option<SuspicionMessage> {
+    let question = PeerRequest::Suspicions(message);
     match ask(link, peer, &question, TIME_LIMIT).await? {
-        PeerAnswer::Silence(answer) => Some(answer),
+        PeerResponse::Suspicions(answer) => Some(answer),
         _other => None,
     }
 }
 
 /// Tells one instance which servers ended; false when it does not answer.
-pub async fn tell_endings(link: &PinnedLink, peer: SocketAddr, news: &EndingNews) -> bool {
-    let question = PeerQuestion::Endings(news.clone());
+pub async fn send_crashes(link: &PinnedLink, peer: SocketAddr, news: &EndingNews) -> bool {
+    let question = PeerRequest::Crashes(news.clone());
     let answer = ask(link, peer, &question, TIME_LIMIT).await;
-    answer == Some(PeerAnswer::EndingsTaken)
+    answer == Some(PeerResponse::CrashesRecorded)
 }
 
 /// Asks one instance.
 pub(crate) async fn ask(
     link: &PinnedLink,
     peer: SocketAddr,
-    question: &PeerQuestion,
+    question: &PeerRequest,
     limit: Duration,
-) -> Option<PeerAnswer> {
+) -> Option<PeerResponse> {
     let body = codec::encode(question).ok()?;
     let reply = link.call(peer, &body, limit).await?;
     codec::decode(&reply).ok()
--- a/crates/hibiscus-traffic/src/pressure.rs
+++ b/crates/hibiscus-traffic/src/pressure.rs
@@ -10,8 +10,8 @@
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
 
-use crate::machine::LevelWatch;
 use crate::machine::MachineLimits;
+use crate::machine::ThresholdTrigger;
 use crate::measures::TrafficLevels;
 use crate::tally::DrawOutcome;
 use crate::tally::QuestionOutcome;
@@ -34,8 +34,8 @@
 #[derive(Debug)]
 pub struct PressureWatch {
     limits: MachineLimits,
-    memory: RefCell<LevelWatch>,
-    lateness: RefCell<LevelWatch>,
+    memory: RefCell<ThresholdTrigger>,
+    lateness: RefCell<ThresholdTrigger>,
     /// Worst lateness since the last line of levels.
     latest: Cell<Duration>,
     looks: Cell<u32>,
@@ -46,8 +46,8 @@
     pub fn new(limits: MachineLimits) -> Self {
         Self {
             limits,
-            memory: RefCell::new(LevelWatch::new(MEMORY_HIGH, MEMORY_LOW)),
-            lateness: RefCell::new(LevelWatch::new(LATE_HIGH, LATE_LOW)),
+            memory: RefCell::new(ThresholdTrigger::new(MEMORY_HIGH, MEMORY_LOW)),
+            lateness: RefCell::new(ThresholdTrigger::new(LATE_HIGH, LATE_LOW)),
             latest: Cell::default(),
             looks: Cell::default(),
         }
@@ -56,7 +56,7 @@
     /// The timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
         self.latest.set(self.latest.get().max(delay));
-        if self.lateness.borrow_mut().rises(delay.as_secs_f64()) {
+        if self.lateness.borrow_mut().fires(delay.as_secs_f64()) {
             event!(EventCode::ThreadLate, "late_ms={}", delay.as_millis());
         }
     }
@@ -65,7 +65,7 @@
     pub fn note_levels(&self, levels: &TrafficLevels, tally: &WorkTally) -> bool {
         let memory = self.limits.memory_bytes.max(1) as f64;
         let part = levels.used.resident_bytes as f64 / memory;
-        if self.memory.borrow_mut().rises(part) {
+        if self.memory.borrow_mut().fires(part) {
             event!(
                 EventCode::MemoryNearLimit,
                 "resident_bytes={} limit_bytes={} caller_connections={} requests={} body_bytes={} idle_links={} accounts={} account_lag={}",
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -67,7 +67,7 @@
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
         tokio::time::sleep(STRANGERS_PAUSE).await;
-        if state.budgets.recovery() == RecoveryPhase::Reading || !state.keeps_accounts() {
+        if state.budgets.recovery() == RecoveryPhase::Reading || !state.closes_accounts() {
             continue;
         }
         let strangers = {
@@ -99,16 +99,16 @@
     let (Some(link), Some(peer)) = (link, peer) else {
         return;
     };
-    let Some(process) = peers::ask_process(&link, peer).await else {
+    let Some(process) = peers::request_process(&link, peer).await else {
         return;
     };
     let present = process.incarnation;
     let began = state
         .now()
-        .saturating_sub(Duration::from_millis(process.age));
+        .saturating_sub(Duration::from_millis(process.age_ms));
     let left = state
         .budgets
-        .close_stranger(machine, present, process.began);
+        .close_stranger(machine, present, process.started_at);
     state.review_budgets();
     if left == 0 {
         return;
@@ -155,7 +155,7 @@
         return;
     };
     // There are links to the other holders; a new one costs a handshake.
-    let mut holders = state.fellow_holders();
+    let mut holders = state.co_holders();
     let mut others = state.directory.borrow().peers();
     others.retain(|other| !holders.contains(other));
     fastrand::shuffle(&mut others);
@@ -164,7 +164,7 @@
     holders.truncate(ASKED_LIMIT.saturating_sub(answers.len()));
     for other in holders {
         let asked = state.now().saturating_sub(began);
-        if let Some(reading) = peers::ask_time(&link, other).await {
+        if let Some(reading) = peers::request_time_of_day(&link, other).await {
             answers.insert(other, at_start(reading, asked));
         }
     }
--- a/crates/hibiscus-traffic/src/relays.rs
+++ b/crates/hibiscus-traffic/src/relays.rs
@@ -3,7 +3,7 @@
 //! A version of the configuration may be large, and the store's rate and the
 //! links of small machines are not. So a few instances wait for records of the
 //! operators, and the others for the changes that these publish
-//! ([`crate::change`]). The order may differ between instances for moments:
+//! ([`crate::config_delta`]). The order may differ between instances for moments:
 //! each instance reads a version itself when no change comes in time.
 
 use std::cmp::Reverse;
@@ -16,14 +16,14 @@
 
 /// Instances that wait for records of the operators: enough that two may fail
 /// at once.
-pub const RELAYS: usize = 3;
+pub const RELAY_COUNT: usize = 3;
 /// What the instances are ordered for.
 const SUBJECT: &[u8] = b"configuration";
 
 /// How many of the instances that answer come before `own` as a relay: those
 /// with the most capacity come first, one of each data centre before the
 /// second of any.
-pub fn place_of<'a>(
+pub fn rank_of<'a>(
     own: &InstanceName,
     answering: impl Iterator<Item = &'a InstanceEntry>,
 ) -> usize {
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -27,9 +27,9 @@
 use crate::idle::IdleLinks;
 use crate::idle::IdleTicket;
 use crate::model::ServerEntry;
+use crate::model::ServerIncarnation;
 use crate::model::ServerLoadReport;
 use crate::model::ServerPhase;
-use crate::model::ServerStart;
 use crate::roster::RosterChange;
 use crate::standings::ServerStandings;
 use crate::standings::SharedAvailability;
@@ -380,7 +380,7 @@
     }
 
     /// Notes that the process `start` leaves; whether that is new.
-    pub fn note_leaving(&mut self, start: &ServerStart) -> bool {
+    pub fn note_leaving(&mut self, start: &ServerIncarnation) -> bool {
         let new = self.standings.note_leaving(start);
         if new && let Some(server) = self.find(&start.server, start.started) {
             server.drop_idle(0);
@@ -468,12 +468,12 @@
         if same {
             return;
         }
-        let start = entry.start();
+        let start = entry.incarnation();
         let availability = self.standings.of(&start);
         if let Some(before) = self.take_out(&entry.name)
-            && before.entry.start() != start
+            && before.entry.incarnation() != start
         {
-            self.standings.note_absent(&before.entry.start());
+            self.standings.note_absent(&before.entry.incarnation());
         }
         let server = Rc::new(ServerHandle::new(
             entry,
@@ -492,7 +492,7 @@
 
     fn remove(&mut self, name: &ServerName) {
         if let Some(server) = self.take_out(name) {
-            self.standings.note_absent(&server.entry.start());
+            self.standings.note_absent(&server.entry.incarnation());
         }
     }
 
--- a/crates/hibiscus-traffic/src/standings.rs
+++ b/crates/hibiscus-traffic/src/standings.rs
@@ -11,7 +11,7 @@
 
 use hibiscus_routing::availability::ServerAvailability;
 
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 
 /// Processes without an entry that are remembered: more than leave within the
 /// time for which one of them may still answer.
@@ -23,20 +23,20 @@
 /// What processes have said of new requests.
 #[derive(Debug, Default)]
 pub struct ServerStandings {
-    known: HashMap<ServerStart, SharedAvailability>,
+    known: HashMap<ServerIncarnation, SharedAvailability>,
     /// Those without an entry, the oldest first.
-    absent: VecDeque<ServerStart>,
+    absent: VecDeque<ServerIncarnation>,
 }
 
 impl ServerStandings {
     /// What the process `start` has said.
-    pub fn of(&mut self, start: &ServerStart) -> SharedAvailability {
+    pub fn of(&mut self, start: &ServerIncarnation) -> SharedAvailability {
         let known = self.known.entry(start.clone()).or_default();
         Rc::clone(known)
     }
 
     /// Notes that `start` leaves; whether that is new.
-    pub fn note_leaving(&mut self, start: &ServerStart) -> bool {
+    pub fn note_leaving(&mut self, start: &ServerIncarnation) -> bool {
         let is_known = self.known.contains_key(start);
         let new = self.of(start).borrow_mut().note_leaving();
         if !is_known {
@@ -47,7 +47,7 @@
 
     /// The entry of `start` is gone. What it said last is kept for a while if
     /// it wants no requests.
-    pub fn note_absent(&mut self, start: &ServerStart) {
+    pub fn note_absent(&mut self, start: &ServerIncarnation) {
         let Some(known) = self.known.get(start) else {
             return;
         };
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -56,9 +56,9 @@
 
 /// What the state of a request path is made of.
 #[expect(missing_debug_implementations, reason = "moved into the state at once")]
-pub struct TrafficParts<D> {
+pub struct TrafficComponents<D> {
     /// How requests are spelled.
-    pub dialect: D,
+    pub wire_format: D,
     /// Where this instance is.
     pub data_centre: DataCentre,
     /// The budgets.
@@ -70,7 +70,7 @@
     /// The requests under which servers ended.
     pub suspects: SuspectDesk,
     /// What each duty may take of the machine.
-    pub bounds: MemoryShares,
+    pub memory_shares: MemoryShares,
     /// What the machine gives the process.
     pub limits: MachineLimits,
     /// Whether the whole system starts for the first time: then announcements
@@ -82,7 +82,7 @@
 /// over an await.
 pub struct TrafficState<D> {
     /// How requests are spelled.
-    pub dialect: D,
+    pub wire_format: D,
     /// Where this instance is.
     pub data_centre: DataCentre,
     /// The budgets.
@@ -102,7 +102,7 @@
     pub link: RefCell<Option<PinnedLink>>,
     /// Tells [`crate::members`] that whom to watch or what to pass on may
     /// have changed.
-    pub members: Notify,
+    pub membership_changed: Notify,
     /// The processes that the link accepts.
     pub pins: PinSet,
     /// The callers' connections.
@@ -112,12 +112,12 @@
     /// Counters and histograms.
     pub measures: Rc<TrafficMeasures>,
     /// Finds out which servers ended.
-    pub endings: Rc<EndingWatch>,
+    pub crash_detector: Rc<EndingWatch>,
     /// The requests under which servers ended.
     pub suspects: Rc<SuspectDesk>,
     /// The servers.
     pub servers: RefCell<ServerPool>,
-    roster: RefCell<ServerRoster>,
+    server_registry: RefCell<ServerRoster>,
     table: RefCell<Option<Rc<RouteTable>>>,
     start: StartWatch,
     /// When the table came into force.
@@ -127,7 +127,7 @@
     /// When the instances' announcements were first read.
     instances_read: Cell<Option<Duration>>,
     in_progress: Rc<Cell<usize>>,
-    stopping: Cell<Option<Instant>>,
+    shutdown_start: Cell<Option<Instant>>,
     closing: Cell<bool>,
     close: Notify,
     /// Whether the callers' port is closed.
@@ -135,44 +135,44 @@
     port_close: Notify,
     started: Instant,
     pressure: PressureWatch,
-    bounds: MemoryShares,
+    memory_shares: MemoryShares,
     gauge: RefCell<PressureGauge>,
 }
 
 impl<D: RequestDialect> TrafficState<D> {
     /// State before any news.
-    pub fn new(parts: TrafficParts<D>) -> Self {
+    pub fn new(parts: TrafficComponents<D>) -> Self {
         let own = parts.directory.own().name.clone();
         Self {
             tally: Rc::clone(parts.budgets.tally()),
             pressure: PressureWatch::new(parts.limits),
-            bounds: parts.bounds,
-            gauge: RefCell::new(PressureGauge::new(parts.bounds.memory)),
-            dialect: parts.dialect,
+            memory_shares: parts.memory_shares,
+            gauge: RefCell::new(PressureGauge::new(parts.memory_shares.memory)),
+            wire_format: parts.wire_format,
             data_centre: parts.data_centre,
             budgets: BudgetHandle::new(parts.budgets),
             retries: RefCell::new(parts.retries),
             directory: RefCell::new(parts.directory),
-            callers: CallerRegistry::new(parts.bounds.callers),
+            callers: CallerRegistry::new(parts.memory_shares.callers),
             refusals: RefCell::default(),
             holders: RefCell::default(),
             budget_count: Cell::default(),
             ranks: Cell::default(),
             link: RefCell::default(),
-            members: Notify::new(),
+            membership_changed: Notify::new(),
             measures: Rc::default(),
             pins: PinSet::default(),
-            endings: Rc::default(),
+            crash_detector: Rc::default(),
             suspects: Rc::new(parts.suspects),
-            servers: RefCell::new(ServerPool::new(own, parts.bounds.idle_links)),
-            roster: RefCell::default(),
+            servers: RefCell::new(ServerPool::new(own, parts.memory_shares.idle_links)),
+            server_registry: RefCell::default(),
             table: RefCell::default(),
             start: StartWatch::default(),
             table_since: Cell::default(),
             first_start: parts.first_start,
             instances_read: Cell::default(),
             in_progress: Rc::default(),
-            stopping: Cell::new(None),
+            shutdown_start: Cell::new(None),
             closing: Cell::new(false),
             close: Notify::new(),
             port_closed: Cell::new(false),
@@ -192,8 +192,8 @@
     }
 
     /// When the planned stop began.
-    pub fn stopping(&self) -> Option<Instant> {
-        self.stopping.get()
+    pub fn shutdown_start(&self) -> Option<Instant> {
+        self.shutdown_start.get()
     }
 
     /// Closes callers' connections as soon as they are idle.
@@ -245,7 +245,7 @@
     }
 
     /// Takes over that the process uses `resident` bytes of memory.
-    pub fn note_memory(&self, resident: usize) {
+    pub fn observe_memory(&self, resident: usize) {
         let changed = self.gauge.borrow_mut().observe(resident);
         if !changed {
             return;
@@ -254,11 +254,11 @@
         event!(
             EventCode::MemoryRelief,
             "level={level:?} resident_bytes={resident} limit_bytes={} requests={}",
-            self.bounds.memory,
+            self.memory_shares.memory,
             self.in_progress()
         );
         let idle = match level {
-            MemoryPressure::Calm => self.bounds.idle_links,
+            MemoryPressure::Calm => self.memory_shares.idle_links,
             MemoryPressure::Tight | MemoryPressure::Full => 0,
         };
         self.servers.borrow().idle_links().set_limit(idle);
@@ -274,25 +274,33 @@
     pub fn apply(&self, update: TrafficUpdate) {
         match update {
             TrafficUpdate::Config { config, arrival } => {
-                if !self.put_in_force(config, &arrival) {
+                if !self.activate_config(config, &arrival) {
                     return;
                 }
             }
             TrafficUpdate::AllServers(entries) => {
-                let changes = self.roster.borrow_mut().replace(entries, self.now());
-                self.apply_roster(changes);
+                let changes = self
+                    .server_registry
+                    .borrow_mut()
+                    .replace(entries, self.now());
+                self.apply_server_changes(changes);
                 self.start.note_servers();
             }
             TrafficUpdate::Server(entry) => {
-                let change = self.roster.borrow_mut().put(entry);
-                self.apply_roster(change);
+                let change = self.server_registry.borrow_mut().put(entry);
+                self.apply_server_changes(change);
             }
-            TrafficUpdate::ServerGone(name) => {
-                let change = self.roster.borrow_mut().remove(&name, self.now());
-                self.apply_roster(change);
+            TrafficUpdate::ServerRemoved(name) => {
+                let change = self.server_registry.borrow_mut().remove(&name, self.now());
+                self.apply_server_changes(change);
             }
-            TrafficUpdate::ServersLost => self.roster.borrow_mut().note_store_lost(),
-            TrafficUpdate::ServersRead => self.roster.borrow_mut().note_store_read(self.now()),
+            TrafficUpdate::ServerTopicUnavailable => {
+                self.server_registry.borrow_mut().note_store_lost()
+            }
+            TrafficUpdate::ServerTopicRead => self
+                .server_registry
+                .borrow_mut()
+                .note_store_read(self.now()),
             TrafficUpdate::Accounts { first, records } => {
                 for (offset, record) in (first..).zip(&records) {
                     self.budgets.apply(offset, record);
@@ -300,11 +308,11 @@
                 self.review_waiting();
             }
             TrafficUpdate::AccountsEnd(end) => self.budgets.note_end(end),
-            TrafficUpdate::AccountsCurrent => {
+            TrafficUpdate::AccountsCaughtUp => {
                 self.budgets.recover();
                 self.review_budgets();
             }
-            TrafficUpdate::AccountsResumed { first, snapshots } => {
+            TrafficUpdate::AccountsTruncated { first, snapshots } => {
                 self.budgets.resume(first, snapshots);
             }
             TrafficUpdate::AccountsAppended { number, end } => {
@@ -317,12 +325,12 @@
             }
             TrafficUpdate::Instance(entry) => {
                 self.announce(entry);
-                self.members.notify_one();
+                self.membership_changed.notify_one();
             }
             TrafficUpdate::Reachable(entry, reachable) => {
                 let mut directory = self.directory.borrow_mut();
                 directory.note_reachable(&entry, reachable);
-                self.members.notify_one();
+                self.membership_changed.notify_one();
             }
             TrafficUpdate::InstancesRead => {
                 if self.instances_read.get().is_none() {
@@ -330,8 +338,8 @@
                     self.review_budgets();
                 }
             }
-            TrafficUpdate::Stop => {
-                self.stopping.set(Some(Instant::now()));
+            TrafficUpdate::Shutdown => {
+                self.shutdown_start.set(Some(Instant::now()));
                 self.budgets.begin_stop();
                 self.review_budgets();
                 self.directory.borrow_mut().set_ready(false);
@@ -342,13 +350,13 @@
 
     /// Replaces the configuration in force by `config`; false when that one is
     /// as new.
-    fn put_in_force(&self, config: Arc<FleetConfig>, arrival: &ConfigArrival) -> bool {
+    fn activate_config(&self, config: Arc<FleetConfig>, arrival: &ConfigArrival) -> bool {
         let known = self.table().map(|table| table.config().version);
         if known.is_some_and(|known| known >= config.version) {
             return false;
         }
         let taken = Instant::now();
-        counter!(CONFIG_VERSIONS, "source" => arrival.source.word()).increment(1);
+        counter!(CONFIG_VERSIONS, "source" => arrival.source.label()).increment(1);
         self.budgets.set_totals(&config);
         self.budget_count.set(self.budgets.count());
         let table = Rc::new(RouteTable::new(Arc::clone(&config)));
@@ -362,12 +370,14 @@
             config.version,
             config.routes.len(),
             config.teams.len(),
-            arrival.source.word(),
+            arrival.source.label(),
             arrival.bytes,
-            arrival.read.as_millis(),
-            arrival.behind,
-            arrival.decode.as_millis(),
-            taken.saturating_duration_since(arrival.told).as_millis(),
+            arrival.read_time.as_millis(),
+            arrival.records_behind,
+            arrival.decode_time.as_millis(),
+            taken
+                .saturating_duration_since(arrival.queued_at)
+                .as_millis(),
             taken.elapsed().as_millis()
         );
         true
@@ -404,9 +414,9 @@
 
     /// How many instances come before this one as a reader of the operators'
     /// topic.
-    pub fn relay_place(&self) -> usize {
+    pub fn relay_rank(&self) -> usize {
         let directory = self.directory.borrow();
-        relays::place_of(&directory.own().name, directory.answering())
+        relays::rank_of(&directory.own().name, directory.answering())
     }
 
     /// Ends callers' connections whose heads take too long.
@@ -475,11 +485,11 @@
 
     /// Drops servers that did not come back.
     pub fn expire_servers(&self) {
-        let changes = self.roster.borrow_mut().expire(self.now());
-        self.apply_roster(changes);
+        let changes = self.server_registry.borrow_mut().expire(self.now());
+        self.apply_server_changes(changes);
     }
 
-    fn apply_roster(&self, changes: impl IntoIterator<Item = RosterChange>) {
+    fn apply_server_changes(&self, changes: impl IntoIterator<Item = RosterChange>) {
         for change in changes {
             match &change {
                 RosterChange::Present(entry) => event!(
@@ -501,7 +511,7 @@
     fn update_ready(&self) {
         let knows = self.table.borrow().is_some() && !self.servers.borrow().is_empty();
         let full = self.gauge.borrow().level() == MemoryPressure::Full;
-        let ready = knows && self.stopping.get().is_none() && !full;
+        let ready = knows && self.shutdown_start.get().is_none() && !full;
         if self.directory.borrow().is_ready() == ready {
             return;
         }
--- a/crates/hibiscus-traffic/src/state/holding.rs
+++ b/crates/hibiscus-traffic/src/state/holding.rs
@@ -67,7 +67,7 @@
     /// Whether this instance reads the account stream: it holds a budget, or
     /// has an account that is not settled. At a first start the stream is
     /// empty, and the holders are not known yet.
-    pub fn follows_accounts(&self) -> bool {
+    pub fn reads_account_stream(&self) -> bool {
         let directory = self.directory.borrow();
         if !self.knows_fleet() {
             return self.first_start;
@@ -77,7 +77,7 @@
 
     /// Whether this instance closes accounts of processes that ended on other
     /// machines: it is the first holder of some budget.
-    pub fn keeps_accounts(&self) -> bool {
+    pub fn closes_accounts(&self) -> bool {
         let directory = self.directory.borrow();
         self.knows_fleet() && self.held_ranks(&directory).first
     }
@@ -107,7 +107,7 @@
 
     /// Whether this instance asks others for tokens of `budget` instead of
     /// drawing them.
-    pub fn asks_for(&self, budget: &BudgetName) -> bool {
+    pub fn requests_from_holders(&self, budget: &BudgetName) -> bool {
         let directory = self.directory.borrow();
         let holders = self.group_holders(&directory, budget);
         self.knows_fleet() && holders.own_rank.is_none()
@@ -122,7 +122,7 @@
 
     /// Where other holders of the budgets that this instance holds take
     /// questions.
-    pub fn fellow_holders(&self) -> Vec<SocketAddr> {
+    pub fn co_holders(&self) -> Vec<SocketAddr> {
         let directory = self.directory.borrow();
         for budget in self.budgets.group_samples().iter() {
             let holders = self.group_holders(&directory, budget);
--- a/crates/hibiscus-traffic/src/state/start.rs
+++ b/crates/hibiscus-traffic/src/state/start.rs
@@ -39,14 +39,18 @@
 
 /// When a request gives up waiting that arrived at `arrived` with `deadline`,
 /// at an instance of `age`; `None` when it does not wait.
-pub fn wait_end(arrived: Instant, deadline: Option<Duration>, age: Duration) -> Option<Instant> {
+pub fn startup_wait_end(
+    arrived: Instant,
+    deadline: Option<Duration>,
+    age: Duration,
+) -> Option<Instant> {
     let wait = deadline.map_or(WAIT_LIMIT, |deadline| deadline.min(WAIT_LIMIT));
     (age < START_TIME).then(|| arrived + wait)
 }
 
 impl<D> TrafficState<D> {
     /// Waits until configuration and servers are known, at most until `end`.
-    pub async fn wait_known(&self, end: Instant) {
+    pub async fn wait_until_configured(&self, end: Instant) {
         loop {
             let news = self.start.news.notified();
             if self.start.servers.get() && self.table.borrow().is_some() {
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -23,8 +23,8 @@
 use crate::budgets::TokenRefusal;
 use crate::dialect::RequestDialect;
 use crate::peers;
-use crate::peers::PeerAnswer;
-use crate::peers::PeerQuestion;
+use crate::peers::PeerRequest;
+use crate::peers::PeerResponse;
 use crate::state::TrafficState;
 use crate::tally::QuestionOutcome;
 use crate::tally::QuestionSubject;
@@ -65,7 +65,7 @@
     tokens: TokenCount,
     until: Instant,
 ) -> Result<TokenHold> {
-    if state.asks_for(budget) {
+    if state.requests_from_holders(budget) {
         return reserve_given(state, budget, tokens, until).await;
     }
     let drawn = reserve_drawn(state, budget, tokens, until).await;
@@ -90,7 +90,7 @@
     tokens: TokenCount,
 ) -> Result<()> {
     // One that does not follow the stream learns of no draw.
-    if state.budgets.is_closed() || !state.follows_accounts() {
+    if state.budgets.is_closed() || !state.reads_account_stream() {
         return Err(TokenRefusal::Unconfirmed);
     }
     let until = Instant::now() + DRAW_WAIT;
@@ -108,7 +108,7 @@
 /// has them in its account then.
 pub fn return_idle<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
     for (budget, tokens) in state.budgets.take_idle_given(GIVEN_REST) {
-        if state.asks_for(&budget) {
+        if state.requests_from_holders(&budget) {
             tokio::task::spawn_local(send_back(Rc::clone(state), budget, tokens));
         } else {
             state.budgets.take_back(&budget, tokens);
@@ -141,12 +141,12 @@
         state.budgets.add_given(&budget, tokens);
         return;
     };
-    let question = PeerQuestion::Return {
+    let question = PeerRequest::Return {
         budget: budget.clone(),
         tokens,
     };
     match peers::ask(&link, holder, &question, ANSWER_LIMIT).await {
-        Some(PeerAnswer::Refused(_refusal)) => state.budgets.add_given(&budget, tokens),
+        Some(PeerResponse::Refused(_refusal)) => state.budgets.add_given(&budget, tokens),
         Some(_returned) => {}
         None => event!(
             EventCode::TokensNotBrought,
@@ -262,7 +262,7 @@
     let state = Rc::clone(state);
     let budget = budget.clone();
     tokio::task::spawn_local(async move {
-        let question = PeerQuestion::Reserve {
+        let question = PeerRequest::Reserve {
             budget: budget.clone(),
             tokens,
         };
@@ -275,14 +275,14 @@
             state.refusals.borrow_mut().note_answer(holder, now);
         }
         let (outcome, answer) = match answer {
-            Some(PeerAnswer::Reserved(tokens)) => {
+            Some(PeerResponse::Reserved(tokens)) => {
                 state.budgets.add_given(&budget, tokens);
                 (QuestionOutcome::Answered, Ok(()))
             }
-            Some(PeerAnswer::Refused(TokenRefusal::Spent)) => {
+            Some(PeerResponse::Refused(TokenRefusal::Spent)) => {
                 (QuestionOutcome::Refused, Err(TokenRefusal::Spent))
             }
-            Some(PeerAnswer::Refused(refusal)) => {
+            Some(PeerResponse::Refused(refusal)) => {
                 state.refusals.borrow_mut().note(&budget, holder, now);
                 (QuestionOutcome::Refused, Err(refusal))
             }
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -35,7 +35,7 @@
 use crate::dialect::RequestDialect;
 use crate::endings::ExposedRequest;
 use crate::endings::RequestIdentity;
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 use crate::peers;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
@@ -85,11 +85,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndingNews {
     /// Servers whose ports were found closed.
-    pub servers: Vec<ServerStart>,
+    pub servers: Vec<ServerIncarnation>,
     /// The requests under which servers ended.
     pub suspects: Vec<SuspectNews>,
     /// Servers that said that they leave.
-    pub leaving: Vec<ServerStart>,
+    pub leaving: Vec<ServerIncarnation>,
 }
 
 impl EndingNews {
@@ -149,7 +149,7 @@
         let process = ServerProcess::of(&entry.name, entry.started);
         let mut news = Vec::with_capacity(requests.len());
         if self.book.borrow_mut().note_end(process, now) {
-            self.waiting.borrow_mut().servers.push(entry.start());
+            self.waiting.borrow_mut().servers.push(entry.incarnation());
             self.has_news.notify_one();
         }
         for request in requests {
@@ -185,7 +185,7 @@
     }
 
     /// The process `start` of a server leaves, which was not known here.
-    pub fn note_leaving(&self, start: ServerStart) {
+    pub fn note_leaving(&self, start: ServerIncarnation) {
         self.waiting.borrow_mut().leaving.push(start);
         self.has_news.notify_one();
     }
@@ -209,7 +209,7 @@
 
     /// Takes over at `now` what another instance tells; the servers of which
     /// nothing was known.
-    pub fn take_news(&self, news: &EndingNews, now: Duration) -> Vec<ServerStart> {
+    pub fn take_news(&self, news: &EndingNews, now: Duration) -> Vec<ServerIncarnation> {
         let mut servers = Vec::new();
         for closed in &news.servers {
             let process = ServerProcess::of(&closed.server, closed.started);
@@ -344,7 +344,7 @@
 impl<D: RequestDialect> TrafficState<D> {
     /// The process `start` of a server leaves, as `source` tells: it gets
     /// nothing new from here, and the other instances learn it.
-    pub fn note_leaving(&self, start: &ServerStart, source: &str) {
+    pub fn note_leaving(&self, start: &ServerIncarnation, source: &str) {
         if !self.servers.borrow_mut().note_leaving(start) {
             return;
         }
@@ -364,7 +364,7 @@
         }
         let servers = self.suspects.take_news(news, self.now());
         if !servers.is_empty() {
-            self.endings.note_end();
+            self.crash_detector.note_end();
         }
         let pool = self.servers.borrow();
         for closed in servers {
@@ -433,11 +433,11 @@
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
-    if peers::tell_endings(&link, contact, &news).await {
+    if peers::send_crashes(&link, contact, &news).await {
         return;
     }
     tokio::time::sleep(REPEAT_PAUSE).await;
-    if !peers::tell_endings(&link, contact, &news).await {
+    if !peers::send_crashes(&link, contact, &news).await {
         event!(
             EventCode::SuspectsNotTold,
             "peer={contact} servers={} suspects={} leaving={}",
--- a/crates/hibiscus-traffic/src/updates.rs
+++ b/crates/hibiscus-traffic/src/updates.rs
@@ -15,7 +15,7 @@
 
 /// News that wait for the traffic thread; a thread that finds the ring full
 /// waits.
-pub const RING_CAPACITY: usize = 256;
+pub const CHANNEL_CAPACITY: usize = 256;
 
 /// Where a configuration came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,15 +23,15 @@
     /// The operators' topic, whole.
     Operators,
     /// A change that another instance published.
-    Change,
+    Delta,
 }
 
 impl ConfigSource {
     /// The word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Operators => "operators",
-            Self::Change => "change",
+            Self::Delta => "change",
         }
     }
 }
@@ -44,13 +44,13 @@
     /// Bytes that were read for it.
     pub bytes: usize,
     /// Time that reading them took, from the head of the reply on.
-    pub read: Duration,
+    pub read_time: Duration,
     /// Records of the same topic after it, when it was read.
-    pub behind: u64,
+    pub records_behind: u64,
     /// Time that decoding or applying it took.
-    pub decode: Duration,
+    pub decode_time: Duration,
     /// When it was told to the request path.
-    pub told: Instant,
+    pub queued_at: Instant,
 }
 
 /// Something that the request path must know.
@@ -68,11 +68,11 @@
     /// A server wrote its entry.
     Server(ServerEntry),
     /// A server's entry was removed.
-    ServerGone(ServerName),
+    ServerRemoved(ServerName),
     /// The servers' topic cannot be read.
-    ServersLost,
+    ServerTopicUnavailable,
     /// The servers' topic was read.
-    ServersRead,
+    ServerTopicRead,
     /// Encoded records of the account stream, one after the other.
     Accounts {
         /// Offset of the first of them.
@@ -83,10 +83,10 @@
     /// The account stream ends at this offset; its records follow.
     AccountsEnd(u64),
     /// All account records that the store had were told.
-    AccountsCurrent,
+    AccountsCaughtUp,
     /// The account records before an offset are gone; these snapshots stand for
     /// them.
-    AccountsResumed {
+    AccountsTruncated {
         /// Offset of the oldest record that is kept.
         first: u64,
         /// The snapshots.
@@ -108,7 +108,7 @@
     /// Another instance answers, or does not.
     Reachable(InstanceEntry, bool),
     /// The planned stop begins.
-    Stop,
+    Shutdown,
 }
 
 /// The sending half of the ring.
@@ -117,6 +117,6 @@
 pub type UpdateReceiver = mpsc::Receiver<TrafficUpdate>;
 
 /// A new ring.
-pub fn ring() -> (UpdateSender, UpdateReceiver) {
-    mpsc::channel(RING_CAPACITY)
+pub fn channel() -> (UpdateSender, UpdateReceiver) {
+    mpsc::channel(CHANNEL_CAPACITY)
 }
--- a/crates/hibiscus-traffic/tests/change.rs
+++ b/crates/hibiscus-traffic/tests/config_delta.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hibiscus_traffic::change::ChangeAssembler;
-use hibiscus_traffic::change::ChangeError;
-use hibiscus_traffic::change::ConfigChange;
+use hibiscus_traffic::config_delta::ConfigDelta;
+use hibiscus_traffic::config_delta::DeltaAssembler;
+use hibiscus_traffic::config_delta::DeltaError;
 use hibiscus_traffic::model::FleetConfig;
 use hibiscus_traffic::model::RequestKind;
 use hibiscus_traffic::model::RouteRule;
 use hibiscus_traffic::model::WeightedService;
 use hibiscus_traffic::relays;
-use hibiscus_traffic::relays::RELAYS;
+use hibiscus_traffic::relays::RELAY_COUNT;
 use proptest::collection::vec;
 use proptest::prelude::any;
 use proptest::test_runner::TestCaseError;
@@ -61,8 +61,8 @@
 }
 
 /// What the records of `change` give when they are read in order.
-fn read_back(change: &ConfigChange) -> Option<ConfigChange> {
-    let mut assembler = ChangeAssembler::default();
+fn read_back(change: &ConfigDelta) -> Option<ConfigDelta> {
+    let mut assembler = DeltaAssembler::default();
     let records = change.to_records().expect("records");
     let mut read = None;
     for record in &records {
@@ -80,7 +80,7 @@
     ) {
         let before = with_routes(1, &before);
         let after = with_routes(2, &after);
-        let change = ConfigChange::between((5, &before), (9, &after));
+        let change = ConfigDelta::between((5, &before), (9, &after));
         let read = read_back(&change).ok_or(TestCaseError::fail("no change"))?;
         assert_eq!((read.base, read.next), (5, 9));
         let made = read.apply(&before).map_err(|error| TestCaseError::fail(error.to_string()))?;
@@ -97,7 +97,7 @@
     after[1_400].1 = 1;
     after.remove(70);
     let (before, after) = (with_routes(1, &before), with_routes(2, &after));
-    let change = ConfigChange::between((1, &before), (2, &after));
+    let change = ConfigDelta::between((1, &before), (2, &after));
     let bytes: usize = change
         .to_records()
         .expect("records")
@@ -110,7 +110,7 @@
 #[test]
 fn a_change_that_is_larger_than_a_record_comes_in_parts() {
     let (before, after) = (with_routes(1, &[]), with_routes(2, &many(8_000)));
-    let change = ConfigChange::between((1, &before), (2, &after));
+    let change = ConfigDelta::between((1, &before), (2, &after));
     let records = change.to_records().expect("records");
     assert!(records.len() > 1);
     assert!(records.iter().all(|record| record.len() <= 262_144));
@@ -121,9 +121,9 @@
 #[test]
 fn a_change_whose_first_part_was_not_read_is_passed_over() {
     let (before, after) = (with_routes(1, &[]), with_routes(2, &many(8_000)));
-    let large = ConfigChange::between((1, &before), (2, &after));
-    let small = ConfigChange::between((2, &after), (3, &with_routes(3, &many(7_999))));
-    let mut assembler = ChangeAssembler::default();
+    let large = ConfigDelta::between((1, &before), (2, &after));
+    let small = ConfigDelta::between((2, &after), (3, &with_routes(3, &many(7_999))));
+    let mut assembler = DeltaAssembler::default();
     for record in &large.to_records().expect("records")[1..] {
         assert_eq!(assembler.take(record).expect("a part"), None);
     }
@@ -134,22 +134,22 @@
 #[test]
 fn a_change_that_no_call_takes_is_not_published() {
     let (before, after) = (with_routes(1, &[]), with_routes(2, &many(40_000)));
-    let change = ConfigChange::between((1, &before), (2, &after));
+    let change = ConfigDelta::between((1, &before), (2, &after));
     let records = change.to_records();
-    assert!(matches!(records, Err(ChangeError::TooLarge { .. })));
+    assert!(matches!(records, Err(DeltaError::TooLarge { .. })));
 }
 
 #[test]
 fn a_change_of_another_configuration_is_refused() {
     let before = with_routes(1, &many(20));
-    let change = ConfigChange::between((1, &before), (2, &with_routes(2, &many(20))));
+    let change = ConfigDelta::between((1, &before), (2, &with_routes(2, &many(20))));
     let other = with_routes(1, &many(3));
-    assert!(matches!(change.apply(&other), Err(ChangeError::NotOfThis)));
+    assert!(matches!(change.apply(&other), Err(DeltaError::NotOfThis)));
 }
 
 #[test]
 fn a_record_that_is_no_change_is_an_error() {
-    let mut assembler = ChangeAssembler::default();
+    let mut assembler = DeltaAssembler::default();
     assert!(assembler.take(&[]).is_err());
     assert!(assembler.take(&[255; 40]).is_err());
 }
@@ -162,8 +162,8 @@
     }
     let mut relays = Vec::new();
     for entry in &fleet {
-        let place = relays::place_of(&entry.name, fleet.iter());
-        if place < RELAYS {
+        let place = relays::rank_of(&entry.name, fleet.iter());
+        if place < RELAY_COUNT {
             relays.push((place, entry));
         }
     }
@@ -176,11 +176,11 @@
         .map(|(_place, entry)| &entry.data_centre)
         .collect();
     centres.dedup();
-    assert_eq!(centres.len(), RELAYS);
+    assert_eq!(centres.len(), RELAY_COUNT);
 }
 
 #[test]
 fn an_instance_that_knows_no_other_is_the_first_relay() {
     let own = instance(7);
-    assert_eq!(relays::place_of(&own.name, [&own].into_iter()), 0);
+    assert_eq!(relays::rank_of(&own.name, [&own].into_iter()), 0);
 }
--- a/crates/hibiscus-traffic/tests/machine.rs
+++ b/crates/hibiscus-traffic/tests/machine.rs
@@ -3,8 +3,8 @@
 use std::thread;
 use std::time::Duration;
 
-use hibiscus_traffic::machine::LevelWatch;
 use hibiscus_traffic::machine::MachineUse;
+use hibiscus_traffic::machine::ThresholdTrigger;
 use hibiscus_traffic::tally::DrawOutcome;
 use hibiscus_types::TokenCount;
 
@@ -34,9 +34,9 @@
 // Guards against a line for each look at a level that stays high.
 #[test]
 fn a_rise_is_told_once_until_the_level_was_low_again() {
-    let mut watch = LevelWatch::new(0.75, 0.65);
+    let mut watch = ThresholdTrigger::new(0.75, 0.65);
     let levels = [0.5, 0.8, 0.9, 0.7, 0.8, 0.6, 0.74, 0.75, 0.9];
-    let told = levels.map(|level| watch.rises(level));
+    let told = levels.map(|level| watch.fires(level));
     assert_eq!(
         told,
         [false, true, false, false, false, false, false, true, false]
--- a/crates/hibiscus-traffic/tests/members.rs
+++ b/crates/hibiscus-traffic/tests/members.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use hibiscus_membership::rings::FULL_WATCH_LIMIT;
+use hibiscus_membership::rings::FULL_MONITORING_LIMIT;
 use hibiscus_membership::rings::RING_COUNT;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::model::InstanceEntry;
@@ -22,7 +22,7 @@
         pin: [u8::try_from(incarnation).expect("small"); 32],
         data_centre: "a".into(),
         capacity: 1_000,
-        leaving: false,
+        shutting_down: false,
     }
 }
 
@@ -55,9 +55,9 @@
 /// Guards against a small fleet whose instances wait for others to tell.
 #[test]
 fn an_instance_of_a_small_fleet_asks_all_others() {
-    let count = u16::try_from(FULL_WATCH_LIMIT + 1).expect("small");
+    let count = u16::try_from(FULL_MONITORING_LIMIT + 1).expect("small");
     let mut directory = directory(0, count);
-    assert_eq!(directory.watched().len(), FULL_WATCH_LIMIT);
+    assert_eq!(directory.watched().len(), FULL_MONITORING_LIMIT);
     assert_eq!(directory.live(), 1);
     directory.note_reachable(&instance(1, 1), true);
     assert_eq!(directory.live(), 2);
--- a/crates/hibiscus-traffic/tests/parts.rs
+++ b/crates/hibiscus-traffic/tests/parts.rs
@@ -117,7 +117,7 @@
             route("/a/b/", &[("one", 90), ("two", 10)]),
         ],
         engines: Default::default(),
-        left_out: Vec::new(),
+        skipped_routes: Vec::new(),
         connections: Default::default(),
         teams: vec![Arc::new(TeamRule {
             name: "team".into(),
@@ -167,7 +167,7 @@
         peers: address(7_000),
         pin: [0; 32],
         data_centre: "a".into(),
-        leaving: false,
+        shutting_down: false,
         capacity: 500,
     }
 }
@@ -218,7 +218,7 @@
     let mut directory = InstanceDirectory::new(instance(0, 1));
     directory.set_ready(true);
     directory.announce(InstanceEntry {
-        leaving: true,
+        shutting_down: true,
         ..instance(1, 9)
     });
     let successor = instance(1, 3);
@@ -252,7 +252,7 @@
     directory.announce(other.clone());
     directory.note_reachable(&other, true);
     directory.announce(InstanceEntry {
-        leaving: true,
+        shutting_down: true,
         ..other
     });
     assert_eq!(directory.addresses(None), [instance(0, 1).callers]);
--- a/crates/hibiscus-traffic/tests/standings.rs
+++ b/crates/hibiscus-traffic/tests/standings.rs
@@ -4,14 +4,14 @@
 use std::time::Instant;
 
 use hibiscus_routing::availability::ServerOpening;
-use hibiscus_traffic::model::ServerStart;
+use hibiscus_traffic::model::ServerIncarnation;
 use hibiscus_traffic::standings::ServerStandings;
 
 /// Processes that leave and are gone, more than are remembered.
 const MANY: u64 = 40_000;
 
-fn start(started: u64) -> ServerStart {
-    ServerStart {
+fn start(started: u64) -> ServerIncarnation {
+    ServerIncarnation {
         server: "i-1".into(),
         started,
     }
--- a/crates/hibiscus-traffic/tests/state.rs
+++ b/crates/hibiscus-traffic/tests/state.rs
@@ -29,7 +29,7 @@
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
 use hibiscus_traffic::shares::MemoryShares;
-use hibiscus_traffic::state::TrafficParts;
+use hibiscus_traffic::state::TrafficComponents;
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::state::start;
 use hibiscus_traffic::suspects::SuspectDesk;
@@ -78,10 +78,10 @@
         arrival: ConfigArrival {
             source: ConfigSource::Operators,
             bytes: 0,
-            read: Duration::ZERO,
-            behind: 0,
-            decode: Duration::ZERO,
-            told: Instant::now(),
+            read_time: Duration::ZERO,
+            records_behind: 0,
+            decode_time: Duration::ZERO,
+            queued_at: Instant::now(),
         },
     }
 }
@@ -97,8 +97,8 @@
     let (suspects, _records) = mpsc::sync_channel(16);
     let clock = MachineClock::of_this_boot();
     let desk = BudgetDesk::new(own.incarnation, own.name.clone(), clock, outbox);
-    let state = TrafficState::new(TrafficParts {
-        dialect: SilentDialect,
+    let state = TrafficState::new(TrafficComponents {
+        wire_format: SilentDialect,
         data_centre: own.data_centre.clone(),
         budgets: desk,
         retries: RetryCounter::new(RetryBound {
@@ -108,7 +108,7 @@
         }),
         suspects: SuspectDesk::new(own.name.clone(), suspects),
         directory: InstanceDirectory::new(own),
-        bounds: MemoryShares::of_machine(88 << 20, 4_100),
+        memory_shares: MemoryShares::of_machine(88 << 20, 4_100),
         limits: MachineLimits::default(),
         first_start: true,
     });
@@ -128,7 +128,7 @@
 fn records_of_other_instances_cause_no_look_at_each_budget() {
     let (state, _batches) = state();
     state.apply(new_config(config(TEAMS, PREPAID)));
-    state.apply(TrafficUpdate::AccountsCurrent);
+    state.apply(TrafficUpdate::AccountsCaughtUp);
     let before = state.tally.reviews.get();
     let draw = |number: u64| {
         let record = AccountRecord::Draw {
@@ -154,7 +154,7 @@
 fn an_instance_that_does_not_know_the_others_draws_for_waiting_requests_only() {
     let (state, batches) = state();
     state.apply(new_config(config(TEAMS, PREPAID)));
-    state.apply(TrafficUpdate::AccountsCurrent);
+    state.apply(TrafficUpdate::AccountsCaughtUp);
     state.apply(TrafficUpdate::InstancesRead);
     state.review_budgets();
     assert_eq!(draws(&batches), []);
@@ -186,16 +186,16 @@
         started: 1,
     }]));
     let requests: Vec<_> = (0..20).map(|_number| state.count_request()).collect();
-    state.note_memory(LIMIT / 2);
+    state.observe_memory(LIMIT / 2);
     assert!(state.directory.borrow().is_ready());
     assert!(state.has_room());
-    state.note_memory(LIMIT / 100 * 95);
+    state.observe_memory(LIMIT / 100 * 95);
     assert!(!state.directory.borrow().is_ready());
     assert!(!state.has_room());
     drop(requests);
     let _only = state.count_request();
     assert!(state.has_room());
-    state.note_memory(LIMIT / 2);
+    state.observe_memory(LIMIT / 2);
     assert!(state.directory.borrow().is_ready());
 }
 
@@ -214,7 +214,7 @@
     }
     state.apply(TrafficUpdate::InstancesRead);
     state.apply(new_config(config(TEAMS, PREPAID)));
-    state.apply(TrafficUpdate::AccountsCurrent);
+    state.apply(TrafficUpdate::AccountsCaughtUp);
     thread::sleep(SETTLED);
     state.review_budgets();
     assert_eq!(draws(&batches).len(), TEAMS);
@@ -241,14 +241,15 @@
     let end = Instant::now() + Duration::from_secs(3_600);
     tasks.block_on(&runtime, async {
         let waits = Rc::clone(&state);
-        let waiting = tokio::task::spawn_local(async move { waits.wait_known(end).await });
+        let waiting =
+            tokio::task::spawn_local(async move { waits.wait_until_configured(end).await });
         tokio::task::yield_now().await;
         state.apply(new_config(config(TEAMS, PREPAID)));
         tokio::task::yield_now().await;
         assert!(!waiting.is_finished(), "no server is known yet");
         state.apply(TrafficUpdate::AllServers(Vec::new()));
         waiting.await.expect("the wait ends");
-        state.wait_known(end).await;
+        state.wait_until_configured(end).await;
     });
 }
 
@@ -257,12 +258,12 @@
     const SHORT: Duration = Duration::from_millis(50);
     const LONG: Duration = Duration::from_secs(5);
     let arrived = Instant::now();
-    let short = start::wait_end(arrived, Some(SHORT), Duration::ZERO);
+    let short = start::startup_wait_end(arrived, Some(SHORT), Duration::ZERO);
     assert_eq!(short, Some(arrived + SHORT));
-    let long = start::wait_end(arrived, Some(LONG), Duration::ZERO);
-    assert_eq!(long, start::wait_end(arrived, None, Duration::ZERO));
+    let long = start::startup_wait_end(arrived, Some(LONG), Duration::ZERO);
+    assert_eq!(long, start::startup_wait_end(arrived, None, Duration::ZERO));
     assert!(long.is_some_and(|end| end < arrived + LONG));
-    assert_eq!(start::wait_end(arrived, None, LONG), None);
+    assert_eq!(start::startup_wait_end(arrived, None, LONG), None);
 }
 
 #[test]
@@ -272,6 +273,6 @@
         .enable_time()
         .build()
         .expect("a runtime");
-    runtime.block_on(state.wait_known(Instant::now() + Duration::from_millis(20)));
+    runtime.block_on(state.wait_until_configured(Instant::now() + Duration::from_millis(20)));
     assert!(state.table().is_none());
 }
