--- a/crates/hibiscus-membership/src/address.rs
+++ b/crates/hibiscus-membership/src/address.rs
@@ -1,4 +1,4 @@
-//! Answers to callers who ask which address to use.
+//! Ranks instance addresses for callers that request one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,9 +10,10 @@
 use crate::ranking;
 use crate::view::FleetInstance;
 
-/// Time that a caller may keep an answer.
+/// Time for which a caller may cache a response.
 pub const ADDRESS_LIFETIME: Duration = Duration::from_secs(30);
-/// Requests in progress that no instance is passed over for.
+/// Requests in progress above the bound for the average load that do not yet
+/// lower an instance's rank.
 const LOAD_SLACK: u64 = 16;
 
 /// Ranked addresses, best first.
@@ -20,12 +21,13 @@
 pub struct AddressRanking {
     /// Addresses to try in order.
     pub addresses: Vec<SocketAddr>,
-    /// Seconds that the answer may be kept.
+    /// Seconds for which the response may be cached.
     pub lifetime_s: u64,
 }
 
-/// Ranks `ready` for `caller`: its own data centre first, and within it by
-/// rendezvous hashing, so that callers spread and keep their address.
+/// Ranks the `ready` instances for `caller`: first those in the data centre
+/// `nearby`, and within each group by rendezvous hashing, which spreads callers
+/// and keeps their addresses stable.
 pub fn rank_addresses(
     caller: &str,
     nearby: &DataCentre,
@@ -34,9 +36,9 @@
     rank_addresses_by_load(caller, nearby, ready, |_instance| 0)
 }
 
-/// As [`rank_addresses`], but an instance whose load is well above the average of
-/// its data centre comes after the others there. Below that bound an answer
-/// depends on the membership alone, so callers keep their address.
+/// Like [`rank_addresses`], but places instances whose load is well above the
+/// average of the data centre `nearby` after the others there. Below that bound
+/// the ranking depends only on the membership, so callers keep their address.
 pub fn rank_addresses_by_load<F>(
     caller: &str,
     nearby: &DataCentre,
@@ -61,8 +63,8 @@
     }
 }
 
-/// The load above which an instance is passed over: a quarter above the
-/// average and some slack.
+/// Returns the load above which an instance ranks lower: a quarter above the
+/// average, plus [`LOAD_SLACK`].
 fn load_bound(loads: impl Iterator<Item = u32>) -> u64 {
     let mut sum = 0;
     let mut count = 0;
--- a/crates/hibiscus-membership/src/detector.rs
+++ b/crates/hibiscus-membership/src/detector.rs
@@ -1,16 +1,18 @@
-//! Which instances answer, as the few that watch each of them find.
+//! Detects instances that no longer respond, from the findings of their
+//! monitors.
 //!
-//! In a small fleet every instance watches all others and believes what it
-//! sees. In a larger one it watches few ([`crate::rings`]), and the watchers
-//! tell the rest: a [`FailureSuspicion`] goes from neighbour to neighbour, and a
-//! slow exchange repairs what got lost. An instance that one watcher calls
-//! silent is affirmed by its other watchers, if they find it answering, and
-//! the majority holds; verdicts of watchers that are themselves called silent
-//! are set aside. So a watcher that is cut off takes nobody out.
+//! In a small fleet, every instance monitors all others and relies on its own
+//! findings. In a larger one it monitors a few ([`crate::rings`]) and reports
+//! their failures to the others: each [`FailureSuspicion`] spreads by gossip,
+//! and a slow periodic exchange repairs lost messages. If one monitor reports
+//! an instance as unresponsive, its other monitors contradict when they find
+//! it responsive, and the majority decides. Suspicions of monitors that are
+//! themselves suspected don't count, so a monitor that is cut off from the
+//! network can't take other instances out of service.
 //!
-//! Nothing here depends on the time of day: a verdict names the process it is
-//! about and the process that made it, whose own counter orders its verdicts.
-//! Which process of an instance is the newest, the announcements say.
+//! Nothing here depends on the time of day: a suspicion names the process that
+//! it is about and the process that made it, whose own counter orders its
+//! suspicions. Announcements determine which process of an instance is newest.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,63 +29,66 @@
 use crate::suspicion::MonitorFinding;
 use crate::suspicion::SuspicionMessage;
 
-/// Verdicts in one message: less than 4 KB.
+/// Most suspicions in one update: less than 4 KB.
 pub const SUSPICION_LIMIT: usize = 32;
-/// Messages in which one verdict is passed on.
-const NEWS_REPEATS: u8 = 2;
-/// Held verdicts that an exchange repeats.
+/// Updates in which each suspicion is sent.
+const UPDATE_SENDS: u8 = 2;
+/// Most suspicions in one message of the periodic exchange.
 const REPAIR_LIMIT: usize = 16;
-/// Bytes of the verdicts told to a process that starts: the link between
-/// instances takes messages of 64 KiB.
-const JOIN_BYTES: usize = 48 * 1024;
-/// Bytes of an encoded verdict beyond its two names, at most.
-const VERDICT_BYTES: usize = 64;
-/// Responsive of other instances to the question for all that is known.
-const JOIN_ANSWERS: u8 = 2;
-/// Verdicts kept of one instance: its watchers, and some that were.
+/// Size limit of the suspicions in the response to a joining process: the link
+/// between instances accepts messages of up to 64 KiB.
+const JOIN_BYTES_LIMIT: usize = 48 * 1024;
+/// Upper bound of the size of an encoded suspicion without its two names.
+const SUSPICION_OVERHEAD_BYTES: usize = 64;
+/// Responses that a joining process collects, each with all suspicions that
+/// the responding instance holds.
+const JOIN_RESPONSES: u8 = 2;
+/// Suspicions kept about one instance: those of its monitors, and some of its
+/// former monitors.
 const REPORTER_LIMIT: usize = 16;
-/// Time after which the verdict of a single watcher is believed: another that
-/// finds the instance answering would have said so.
-const LONE_TIME: Duration = Duration::from_secs(1);
-/// Time after an announcement within which a process need not serve yet: its
-/// watchers keep their findings to themselves.
-const START_TIME: Duration = Duration::from_secs(2);
-
-/// A verdict and when it came.
+/// Delay until the suspicion of a single monitor takes effect: within it,
+/// another monitor that finds the instance responsive would have contradicted.
+const SINGLE_MONITOR_DELAY: Duration = Duration::from_secs(1);
+/// Time after its announcement in which a process need not serve yet. Its
+/// monitors report no failure in this time.
+const STARTUP_GRACE: Duration = Duration::from_secs(2);
+
+/// A suspicion and the time at which it was received.
 #[derive(Clone, Debug)]
-struct HeldVerdict {
-    verdict: FailureSuspicion,
-    heard: Duration,
+struct HeldSuspicion {
+    suspicion: FailureSuspicion,
+    received_at: Duration,
 }
 
-/// Another instance.
+/// State of another instance.
 #[derive(Clone, Debug)]
 struct FleetMember {
     incarnation: IncarnationId,
     /// When the process announced itself.
-    since: Duration,
-    /// Whether it has said that it will stop.
-    leaving: bool,
-    /// Whether it left and was then found silent.
-    gone: bool,
-    /// What the own process found, while it watches it.
-    seen: Option<bool>,
-    /// Whether the own process ever found it serving.
-    served: bool,
-    /// What the own process told the others.
-    told: Option<MonitorFinding>,
-    /// What the watchers say.
-    verdicts: BTreeMap<InstanceName, HeldVerdict>,
+    announced_at: Duration,
+    /// Whether the process has announced its shutdown.
+    shutting_down: bool,
+    /// Whether the process became unresponsive after announcing its shutdown.
+    departed: bool,
+    /// Whether this process finds the member serving; `None` while it doesn't
+    /// monitor the member.
+    serving: Option<bool>,
+    /// Whether this process has ever found the member serving.
+    ever_served: bool,
+    /// The finding that this process last reported to the others.
+    reported: Option<MonitorFinding>,
+    /// Suspicions by monitor, including this process.
+    suspicions: BTreeMap<InstanceName, HeldSuspicion>,
 }
 
-/// A verdict that waits to be passed on.
+/// A suspicion that is queued for sending.
 #[derive(Clone, Debug)]
-struct PendingNews {
-    verdict: FailureSuspicion,
-    repeats: u8,
+struct PendingUpdate {
+    suspicion: FailureSuspicion,
+    sends_left: u8,
 }
 
-/// The other instances and which of them are held to answer.
+/// Tracks the other instances and decides which of them are unresponsive.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     own: InstanceName,
@@ -91,20 +96,21 @@
     version: u64,
     members: BTreeMap<InstanceName, FleetMember>,
     rings: MonitorRings,
-    watched: BTreeSet<InstanceName>,
-    silent: BTreeSet<InstanceName>,
-    /// Instances of which anything was seen or said: few, so that a decision
-    /// costs the same in a fleet of any size.
-    marked: BTreeSet<InstanceName>,
-    news: VecDeque<PendingNews>,
-    /// After which verdict the next repair goes on: its subject and reporter.
-    repaired: Option<(InstanceName, InstanceName)>,
-    /// Responsive still wanted to the question for all that is known.
-    wanted: u8,
+    monitored: BTreeSet<InstanceName>,
+    unresponsive: BTreeSet<InstanceName>,
+    /// Instances with any finding or suspicion. These are few, so the cost of a
+    /// decision doesn't depend on the size of the fleet.
+    tracked: BTreeSet<InstanceName>,
+    updates: VecDeque<PendingUpdate>,
+    /// Subject and reporter of the suspicion that the periodic exchange sent
+    /// last.
+    repair_cursor: Option<(InstanceName, InstanceName)>,
+    /// Responses with all suspicions that this process still needs.
+    join_responses_wanted: u8,
 }
 
 impl FailureDetector {
-    /// The board of the process `process` of the instance `own`.
+    /// Creates the detector of the process `process` of the instance `own`.
     pub fn new(own: InstanceName, process: IncarnationId) -> Self {
         Self {
             rings: MonitorRings::new(own.clone()),
@@ -112,22 +118,22 @@
             process,
             version: 0,
             members: BTreeMap::new(),
-            watched: BTreeSet::new(),
-            silent: BTreeSet::new(),
-            marked: BTreeSet::new(),
-            news: VecDeque::new(),
-            repaired: None,
-            wanted: JOIN_ANSWERS,
+            monitored: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
+            tracked: BTreeSet::new(),
+            updates: VecDeque::new(),
+            repair_cursor: None,
+            join_responses_wanted: JOIN_RESPONSES,
         }
     }
 
-    /// Takes over the newest process of an instance, announced at `now`. In a
-    /// large fleet the next [`Self::tick`] decides whom to watch.
+    /// Records the newest process of an instance, announced at `now`. In a large
+    /// fleet the next [`Self::tick`] selects the instances to monitor.
     pub fn announce(
         &mut self,
         name: &InstanceName,
         incarnation: IncarnationId,
-        leaving: bool,
+        shutting_down: bool,
         now: Duration,
     ) {
         if *name == self.own {
@@ -136,42 +142,42 @@
         if let Some(member) = self.members.get_mut(name)
             && member.incarnation == incarnation
         {
-            member.leaving = leaving;
+            member.shutting_down = shutting_down;
             return;
         }
         let member = FleetMember {
             incarnation,
-            since: now,
-            leaving,
-            gone: false,
-            seen: None,
-            served: false,
-            told: None,
-            verdicts: BTreeMap::new(),
+            announced_at: now,
+            shutting_down,
+            departed: false,
+            serving: None,
+            ever_served: false,
+            reported: None,
+            suspicions: BTreeMap::new(),
         };
         self.rings.insert(name);
         if self.members.insert(name.clone(), member).is_some() {
-            self.forget_verdicts(name);
+            self.remove_suspicions(name);
         }
         if !self.is_large() {
-            self.review(now);
+            self.reevaluate(now);
         }
     }
 
-    /// Forgets what was said of the process of `name` that was replaced, and
-    /// what it said.
-    fn forget_verdicts(&mut self, name: &InstanceName) {
-        self.silent.remove(name);
-        self.marked.remove(name);
+    /// Removes suspicions about and from the process of `name` that was
+    /// replaced.
+    fn remove_suspicions(&mut self, name: &InstanceName) {
+        self.unresponsive.remove(name);
+        self.tracked.remove(name);
         for member in self.members.values_mut() {
-            member.verdicts.remove(name);
+            member.suspicions.remove(name);
         }
-        self.news
-            .retain(|news| news.verdict.subject != *name && news.verdict.reporter != *name);
+        self.updates.retain(|update| {
+            update.suspicion.subject != *name && update.suspicion.reporter != *name
+        });
     }
 
-    /// Takes over what the own process found at `now` of a process that it
-    /// watches.
+    /// Records whether this process found a monitored process serving at `now`.
     pub fn record_finding(
         &mut self,
         name: &InstanceName,
@@ -179,233 +185,239 @@
         serves: bool,
         now: Duration,
     ) {
-        let watched = !self.is_large() || self.watched.contains(name);
-        let Some(member) = self.members.get_mut(name).filter(|_member| watched) else {
+        let monitored = !self.is_large() || self.monitored.contains(name);
+        let Some(member) = self.members.get_mut(name).filter(|_member| monitored) else {
             return;
         };
         if member.incarnation != incarnation {
             return;
         }
-        if member.seen == Some(serves) {
+        if member.serving == Some(serves) {
             return;
         }
-        member.seen = Some(serves);
-        member.served |= serves;
-        self.marked.insert(name.clone());
-        self.review(now);
+        member.serving = Some(serves);
+        member.ever_served |= serves;
+        self.tracked.insert(name.clone());
+        self.reevaluate(now);
     }
 
-    /// Takes over what another instance passed on, and answers it.
+    /// Merges the message of another instance and returns the response.
     pub fn receive(&mut self, message: SuspicionMessage, now: Duration) -> SuspicionMessage {
         let joining = message.joining;
         self.receive_response(message, now);
-        let verdicts = if joining {
-            self.all_silent()
+        let suspicions = if joining {
+            self.join_suspicions()
         } else {
             self.next_repairs()
         };
         SuspicionMessage {
             joining: false,
-            verdicts,
+            suspicions,
         }
     }
 
-    /// Takes over an answer.
+    /// Merges the response of another instance.
     pub fn receive_response(&mut self, message: SuspicionMessage, now: Duration) {
         let mut changed = false;
-        for verdict in message.verdicts {
-            changed |= self.learn(verdict, now);
+        for suspicion in message.suspicions {
+            changed |= self.merge(suspicion, now);
         }
         if changed {
-            self.review(now);
+            self.reevaluate(now);
         }
     }
 
-    /// Notes that one of the others answered the question for all.
+    /// Records that another instance responded with all its suspicions.
     pub fn record_join_response(&mut self) {
-        self.wanted = self.wanted.saturating_sub(1);
+        self.join_responses_wanted = self.join_responses_wanted.saturating_sub(1);
     }
 
-    /// Lets time pass: decides what announcements and waiting verdicts change.
+    /// Applies announcements and suspicions that take effect with time.
     pub fn tick(&mut self, now: Duration) {
         if self.is_large() {
-            self.review(now);
+            self.reevaluate(now);
         }
     }
 
-    /// Whether the fleet is so large that each watches a few.
+    /// Whether the fleet is so large that each instance monitors only a few
+    /// others.
     pub fn is_large(&self) -> bool {
         self.members.len() > FULL_MONITORING_LIMIT
     }
 
-    /// Whether `name` is held not to answer.
+    /// Whether `name` is considered unresponsive.
     pub fn is_unresponsive(&self, name: &InstanceName) -> bool {
-        self.silent.contains(name)
+        self.unresponsive.contains(name)
     }
 
-    /// The instances that are held not to answer.
+    /// The instances that are considered unresponsive.
     pub fn unresponsive(&self) -> &BTreeSet<InstanceName> {
-        &self.silent
+        &self.unresponsive
     }
 
-    /// The instances that the own one watches.
+    /// The instances that this instance monitors.
     pub fn monitored(&self) -> &BTreeSet<InstanceName> {
-        &self.watched
+        &self.monitored
     }
 
-    /// The instances to which news go: those it watches that answer.
+    /// The instances to send updates to: the monitored ones that are responsive.
     pub fn contacts(&self) -> impl Iterator<Item = &InstanceName> {
-        let watched = self.watched.iter();
-        watched.filter(|name| !self.silent.contains(*name))
+        let monitored = self.monitored.iter();
+        monitored.filter(|name| !self.unresponsive.contains(*name))
     }
 
-    /// Whether news wait to be passed on.
+    /// Whether updates wait to be sent.
     pub fn has_updates(&self) -> bool {
-        !self.news.is_empty()
+        !self.updates.is_empty()
     }
 
-    /// The next news, for all contacts; `None` when there are none.
+    /// Returns the next update for all contacts, or `None` if none is queued.
     pub fn next_update(&mut self) -> Option<SuspicionMessage> {
-        let mut verdicts = Vec::new();
-        for _news in 0..self.news.len().min(SUSPICION_LIMIT) {
-            let Some(mut news) = self.news.pop_front() else {
+        let mut suspicions = Vec::new();
+        for _update in 0..self.updates.len().min(SUSPICION_LIMIT) {
+            let Some(mut update) = self.updates.pop_front() else {
                 break;
             };
-            verdicts.push(news.verdict.clone());
-            news.repeats -= 1;
-            if news.repeats > 0 {
-                self.news.push_back(news);
+            suspicions.push(update.suspicion.clone());
+            update.sends_left -= 1;
+            if update.sends_left > 0 {
+                self.updates.push_back(update);
             }
         }
-        (!verdicts.is_empty()).then_some(SuspicionMessage {
+        (!suspicions.is_empty()).then_some(SuspicionMessage {
             joining: false,
-            verdicts,
+            suspicions,
         })
     }
 
-    /// A message of the slow exchange, for one contact.
+    /// Returns the next message of the periodic exchange, for one contact.
     pub fn next_exchange(&mut self) -> SuspicionMessage {
         SuspicionMessage {
-            joining: self.wanted > 0,
-            verdicts: self.next_repairs(),
+            joining: self.join_responses_wanted > 0,
+            suspicions: self.next_repairs(),
         }
     }
 
-    /// Takes a verdict over; false when it says nothing new.
-    fn learn(&mut self, verdict: FailureSuspicion, now: Duration) -> bool {
-        if verdict.reporter == self.own || verdict.subject == verdict.reporter {
+    /// Merges a suspicion; returns false if it is outdated or invalid.
+    fn merge(&mut self, suspicion: FailureSuspicion, now: Duration) -> bool {
+        if suspicion.reporter == self.own || suspicion.subject == suspicion.reporter {
             return false;
         }
-        let reporter = self.members.get(&verdict.reporter);
-        if reporter.is_none_or(|member| member.incarnation != verdict.process) {
+        let reporter = self.members.get(&suspicion.reporter);
+        if reporter.is_none_or(|member| member.incarnation != suspicion.process) {
             return false;
         }
-        let Some(member) = self.members.get_mut(&verdict.subject) else {
+        let Some(member) = self.members.get_mut(&suspicion.subject) else {
             return false;
         };
-        if member.incarnation != verdict.incarnation || member.gone {
+        if member.incarnation != suspicion.incarnation || member.departed {
             return false;
         }
-        let held = member.verdicts.get(&verdict.reporter);
-        if held.is_some_and(|held| held.verdict.version >= verdict.version) {
+        let held = member.suspicions.get(&suspicion.reporter);
+        if held.is_some_and(|held| held.suspicion.version >= suspicion.version) {
             return false;
         }
-        if !member.make_room(&verdict.reporter) {
+        if !member.make_room(&suspicion.reporter) {
             return false;
         }
-        let held = HeldVerdict {
-            verdict: verdict.clone(),
-            heard: now,
+        let held = HeldSuspicion {
+            suspicion: suspicion.clone(),
+            received_at: now,
         };
-        member.verdicts.insert(verdict.reporter.clone(), held);
-        self.marked.insert(verdict.subject.clone());
-        self.pass_on(verdict);
+        member.suspicions.insert(suspicion.reporter.clone(), held);
+        self.tracked.insert(suspicion.subject.clone());
+        self.queue_update(suspicion);
         true
     }
 
-    /// Queues a verdict in place of an older one of the same watcher.
-    fn pass_on(&mut self, verdict: FailureSuspicion) {
-        self.news.retain(|news| {
-            news.verdict.subject != verdict.subject || news.verdict.reporter != verdict.reporter
+    /// Queues a suspicion, replacing an older one of the same monitor.
+    fn queue_update(&mut self, suspicion: FailureSuspicion) {
+        self.updates.retain(|update| {
+            update.suspicion.subject != suspicion.subject
+                || update.suspicion.reporter != suspicion.reporter
         });
-        self.news.push_back(PendingNews {
-            verdict,
-            repeats: NEWS_REPEATS,
+        self.updates.push_back(PendingUpdate {
+            suspicion,
+            sends_left: UPDATE_SENDS,
         });
     }
 
-    /// Decides anew who is silent, whom to watch and what to tell.
-    fn review(&mut self, now: Duration) {
-        self.judge(now);
-        let answers = |name: &InstanceName| {
-            // One that starts will answer: who follows it has its watcher.
+    /// Decides again which instances are unresponsive, which to monitor and
+    /// which findings to report.
+    fn reevaluate(&mut self, now: Duration) {
+        self.update_unresponsive(now);
+        let is_responsive = |name: &InstanceName| {
+            // A starting process will respond soon and then monitor its
+            // successors itself.
             let member = self.members.get(name);
-            !self.silent.contains(name) || member.is_some_and(|member| member.is_starting(now))
+            !self.unresponsive.contains(name)
+                || member.is_some_and(|member| member.is_starting(now))
         };
-        let watched = self.rings.watched(answers);
-        if watched != self.watched {
-            for name in self.watched.difference(&watched) {
+        let monitored = self.rings.monitored(is_responsive);
+        if monitored != self.monitored {
+            for name in self.monitored.difference(&monitored) {
                 if let Some(member) = self.members.get_mut(name) {
-                    member.seen = None;
+                    member.serving = None;
                 }
             }
-            self.watched = watched;
-            self.judge(now);
+            self.monitored = monitored;
+            self.update_unresponsive(now);
         }
         if self.is_large() {
-            self.tell(now);
+            self.report_findings(now);
         }
     }
 
-    /// Decides who is silent.
-    fn judge(&mut self, now: Duration) {
+    /// Decides which instances are unresponsive.
+    fn update_unresponsive(&mut self, now: Duration) {
         if !self.is_large() {
             let members = self.members.iter();
-            let silent = members.filter(|(_name, member)| member.seen != Some(true));
-            self.silent = silent.map(|(name, _member)| name.clone()).collect();
+            let unresponsive = members.filter(|(_name, member)| member.serving != Some(true));
+            self.unresponsive = unresponsive.map(|(name, _member)| name.clone()).collect();
             return;
         }
-        let marked = self.marked.iter();
-        let accused = marked.filter(|name| {
+        let tracked = self.tracked.iter();
+        let suspected = tracked.filter(|name| {
             let member = self.members.get(*name);
-            member.is_some_and(FleetMember::is_accused)
+            member.is_some_and(FleetMember::is_suspected)
         });
-        let accused: BTreeSet<InstanceName> = accused.cloned().collect();
-        self.silent.clear();
-        for name in &self.marked {
+        let suspected: BTreeSet<InstanceName> = suspected.cloned().collect();
+        self.unresponsive.clear();
+        for name in &self.tracked {
             let Some(member) = self.members.get_mut(name) else {
                 continue;
             };
-            let silent = match member.seen {
-                _ if member.gone => true,
+            let unresponsive = match member.serving {
+                _ if member.departed => true,
                 Some(serves) => !serves,
-                // Whoever announced itself answers until its watchers say else.
-                None => member.is_outvoted(&accused, now),
+                // An announced process counts as responsive until its monitors
+                // report otherwise.
+                None => member.is_voted_unresponsive(&suspected, now),
             };
-            if !silent {
+            if !unresponsive {
                 continue;
             }
-            self.silent.insert(name.clone());
-            if member.leaving && !member.gone {
-                member.gone = true;
+            self.unresponsive.insert(name.clone());
+            if member.shutting_down && !member.departed {
+                member.departed = true;
                 self.rings.remove(name);
             }
         }
     }
 
-    /// Tells the others what the own process finds, where they must know.
-    fn tell(&mut self, now: Duration) {
-        let mut news = Vec::new();
-        for name in &self.marked {
+    /// Queues the findings of this process that the other instances need.
+    fn report_findings(&mut self, now: Duration) {
+        let mut updates = Vec::new();
+        for name in &self.tracked {
             let Some(member) = self.members.get_mut(name) else {
                 continue;
             };
-            let Some(finding) = member.next_finding(self.watched.contains(name), now) else {
+            let Some(finding) = member.next_finding(self.monitored.contains(name), now) else {
                 continue;
             };
             self.version += 1;
-            member.told = Some(finding);
-            let verdict = FailureSuspicion {
+            member.reported = Some(finding);
+            let suspicion = FailureSuspicion {
                 subject: name.clone(),
                 incarnation: member.incarnation,
                 reporter: self.own.clone(),
@@ -413,45 +425,45 @@
                 version: self.version,
                 finding,
             };
-            let held = HeldVerdict {
-                verdict: verdict.clone(),
-                heard: now,
+            let held = HeldSuspicion {
+                suspicion: suspicion.clone(),
+                received_at: now,
             };
-            member.verdicts.insert(self.own.clone(), held);
-            news.push(verdict);
+            member.suspicions.insert(self.own.clone(), held);
+            updates.push(suspicion);
         }
-        for verdict in news {
-            self.pass_on(verdict);
+        for suspicion in updates {
+            self.queue_update(suspicion);
         }
     }
 
-    /// The verdicts by which instances are silent, then those that contradict,
-    /// as many as a message holds.
-    fn all_silent(&self) -> Vec<FailureSuspicion> {
+    /// Returns the suspicions that report instances as unresponsive, then those
+    /// that contradict them, up to the size of a message.
+    fn join_suspicions(&self) -> Vec<FailureSuspicion> {
         let members = self.members.values();
-        let held = members.flat_map(|member| member.verdicts.values());
+        let held = members.flat_map(|member| member.suspicions.values());
         let found = |finding| {
-            let verdicts = held.clone().map(|held| &held.verdict);
-            verdicts.filter(move |verdict| verdict.finding == finding)
+            let suspicions = held.clone().map(|held| &held.suspicion);
+            suspicions.filter(move |suspicion| suspicion.finding == finding)
         };
-        let silent = found(MonitorFinding::Unresponsive);
-        let mut verdicts = Vec::new();
+        let unresponsive = found(MonitorFinding::Unresponsive);
+        let mut suspicions = Vec::new();
         let mut bytes = 0;
-        for verdict in silent.chain(found(MonitorFinding::Responsive)) {
-            let names = verdict.subject.as_str().len() + verdict.reporter.as_str().len();
-            bytes += VERDICT_BYTES + names;
-            if bytes > JOIN_BYTES {
+        for suspicion in unresponsive.chain(found(MonitorFinding::Responsive)) {
+            let names = suspicion.subject.as_str().len() + suspicion.reporter.as_str().len();
+            bytes += SUSPICION_OVERHEAD_BYTES + names;
+            if bytes > JOIN_BYTES_LIMIT {
                 break;
             }
-            verdicts.push(verdict.clone());
+            suspicions.push(suspicion.clone());
         }
-        verdicts
+        suspicions
     }
 
-    /// The next held verdicts in turn.
+    /// Returns the next held suspicions in turn for the periodic exchange.
     fn next_repairs(&mut self) -> Vec<FailureSuspicion> {
-        let mut verdicts = Vec::new();
-        let mut after = self.repaired.take();
+        let mut suspicions = Vec::new();
+        let mut after = self.repair_cursor.take();
         let first = after.as_ref().map(|(subject, _reporter)| subject.clone());
         let begin = match &first {
             Some(subject) => Bound::Included(subject),
@@ -461,59 +473,61 @@
             .members
             .range::<InstanceName, _>((begin, Bound::Unbounded))
         {
-            for (reporter, held) in &member.verdicts {
-                let passed = after
+            for (reporter, held) in &member.suspicions {
+                let already_sent = after
                     .as_ref()
-                    .is_some_and(|(told, by)| (subject, reporter) <= (told, by));
-                if passed {
+                    .is_some_and(|(sent, by)| (subject, reporter) <= (sent, by));
+                if already_sent {
                     continue;
                 }
-                verdicts.push(held.verdict.clone());
-                if verdicts.len() >= REPAIR_LIMIT {
-                    self.repaired = Some((subject.clone(), reporter.clone()));
-                    return verdicts;
+                suspicions.push(held.suspicion.clone());
+                if suspicions.len() >= REPAIR_LIMIT {
+                    self.repair_cursor = Some((subject.clone(), reporter.clone()));
+                    return suspicions;
                 }
             }
             after = None;
         }
-        verdicts
+        suspicions
     }
 }
 
 impl FleetMember {
-    /// Whether the own process finds it silent, or, where that does not watch
-    /// it, more watchers call it silent than affirm it.
-    fn is_accused(&self) -> bool {
-        if self.gone {
+    /// Whether this process finds the member unresponsive or, if it doesn't
+    /// monitor the member, more monitors report it as unresponsive than as
+    /// responsive.
+    fn is_suspected(&self) -> bool {
+        if self.departed {
             return true;
         }
-        if let Some(serves) = self.seen {
+        if let Some(serves) = self.serving {
             return !serves;
         }
         let votes = self.votes(|_reporter| true);
-        votes.silent > votes.answers
+        votes.unresponsive > votes.responsive
     }
 
-    /// Whether it is silent by the verdicts of those that are not `accused`.
-    fn is_outvoted(&self, accused: &BTreeSet<InstanceName>, now: Duration) -> bool {
-        let votes = self.votes(|reporter| !accused.contains(reporter));
-        if votes.silent <= votes.answers {
+    /// Whether the monitors that are not themselves `suspected` vote that the
+    /// member is unresponsive.
+    fn is_voted_unresponsive(&self, suspected: &BTreeSet<InstanceName>, now: Duration) -> bool {
+        let votes = self.votes(|reporter| !suspected.contains(reporter));
+        if votes.unresponsive <= votes.responsive {
             return false;
         }
-        votes.silent > 1 || now.saturating_sub(votes.heard) >= LONE_TIME
+        votes.unresponsive > 1 || now.saturating_sub(votes.latest) >= SINGLE_MONITOR_DELAY
     }
 
-    fn votes(&self, counts: impl Fn(&InstanceName) -> bool) -> WatcherVotes {
-        let mut votes = WatcherVotes::default();
-        for (reporter, held) in &self.verdicts {
+    fn votes(&self, counts: impl Fn(&InstanceName) -> bool) -> MonitorVotes {
+        let mut votes = MonitorVotes::default();
+        for (reporter, held) in &self.suspicions {
             if !counts(reporter) {
                 continue;
             }
-            match held.verdict.finding {
-                MonitorFinding::Responsive => votes.answers += 1,
+            match held.suspicion.finding {
+                MonitorFinding::Responsive => votes.responsive += 1,
                 MonitorFinding::Unresponsive => {
-                    votes.silent += 1;
-                    votes.heard = votes.heard.max(held.heard);
+                    votes.unresponsive += 1;
+                    votes.latest = votes.latest.max(held.received_at);
                 }
                 MonitorFinding::Withdrawn => {}
             }
@@ -521,47 +535,52 @@
         votes
     }
 
-    /// Whether it announced itself so lately that it need not serve yet.
+    /// Whether the process announced itself so recently that it need not serve
+    /// yet.
     fn is_starting(&self, now: Duration) -> bool {
-        !self.served && now.saturating_sub(self.since) < START_TIME
+        !self.ever_served && now.saturating_sub(self.announced_at) < STARTUP_GRACE
     }
 
-    /// What the own process must tell of it now, if it has not.
-    fn next_finding(&self, watched: bool, now: Duration) -> Option<MonitorFinding> {
-        let told_silent = self.told == Some(MonitorFinding::Unresponsive);
-        let finding = match self.seen {
-            _ if self.gone => return None,
+    /// Returns the finding that this process must report now, unless it already
+    /// has.
+    fn next_finding(&self, monitored: bool, now: Duration) -> Option<MonitorFinding> {
+        let reported_unresponsive = self.reported == Some(MonitorFinding::Unresponsive);
+        let finding = match self.serving {
+            _ if self.departed => return None,
             Some(false) if !self.is_starting(now) => MonitorFinding::Unresponsive,
-            Some(true) if told_silent || self.votes(|_reporter| true).silent > 0 => {
+            Some(true)
+                if reported_unresponsive || self.votes(|_reporter| true).unresponsive > 0 =>
+            {
                 MonitorFinding::Responsive
             }
-            None if !watched && self.told.is_some() => MonitorFinding::Withdrawn,
+            None if !monitored && self.reported.is_some() => MonitorFinding::Withdrawn,
             _ => return None,
         };
-        (self.told != Some(finding)).then_some(finding)
+        (self.reported != Some(finding)).then_some(finding)
     }
 
-    /// Makes room for a verdict of `reporter`; false when there is none.
+    /// Makes room for a suspicion of `reporter` by dropping a withdrawn one;
+    /// returns false if there is no room.
     fn make_room(&mut self, reporter: &InstanceName) -> bool {
-        if self.verdicts.len() < REPORTER_LIMIT || self.verdicts.contains_key(reporter) {
+        if self.suspicions.len() < REPORTER_LIMIT || self.suspicions.contains_key(reporter) {
             return true;
         }
-        let mut held = self.verdicts.iter();
+        let mut held = self.suspicions.iter();
         let withdrawn =
-            held.find(|(_name, held)| held.verdict.finding == MonitorFinding::Withdrawn);
+            held.find(|(_name, held)| held.suspicion.finding == MonitorFinding::Withdrawn);
         let Some(name) = withdrawn.map(|(name, _held)| name.clone()) else {
             return false;
         };
-        self.verdicts.remove(&name);
+        self.suspicions.remove(&name);
         true
     }
 }
 
-/// What the watchers of an instance say.
+/// Counts of the findings of an instance's monitors.
 #[derive(Clone, Copy, Debug, Default)]
-struct WatcherVotes {
-    answers: usize,
-    silent: usize,
-    /// When the newest of the silent ones came.
-    heard: Duration,
+struct MonitorVotes {
+    responsive: usize,
+    unresponsive: usize,
+    /// When the newest [`MonitorFinding::Unresponsive`] was received.
+    latest: Duration,
 }
--- a/crates/hibiscus-membership/src/gossip.rs
+++ b/crates/hibiscus-membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other in an exchange of heartbeats.
+//! Messages of the heartbeat exchange between instances.
 
 use hibiscus_types::IncarnationId;
 use hibiscus_types::InstanceName;
@@ -7,49 +7,49 @@
 
 use crate::view::InstanceHeartbeat;
 
-/// News in one message.
-pub const NEWS_LIMIT: usize = 4;
-/// Messages in which one piece of news is passed on.
-pub const NEWS_REPEATS: u8 = 8;
-/// Heartbeats of others repeated in each message without being news, so that
-/// what was lost is repaired in the end.
+/// Changed items in one message.
+pub const CHANGED_ITEMS_LIMIT: usize = 4;
+/// Messages in which a changed item is sent.
+pub const CHANGED_ITEM_SENDS: u8 = 8;
+/// Unchanged heartbeats of other instances in each message, so that lost
+/// updates eventually arrive.
 pub const REPAIR_ITEMS: usize = 2;
-/// Instances that must call another one silent before those that do not
-/// exchange with it believe so.
+/// Instances that must report another one as failed before instances that
+/// exchange no heartbeats with it treat it as failed.
 pub const FAILURE_REPORT_QUORUM: usize = 2;
 
-/// An instance's word that another one no longer answers.
+/// A report that an instance no longer responds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureReport {
-    /// The silent instance.
+    /// The unresponsive instance.
     pub name: InstanceName,
-    /// Its incarnation.
+    /// Incarnation of the unresponsive instance.
     pub incarnation: IncarnationId,
-    /// Its uptime in milliseconds when the report was made: the last one
-    /// that the reporter received and the silence after it. A heartbeat with
-    /// a longer uptime refutes the report.
+    /// Uptime of the unresponsive instance at the time of the report, in
+    /// milliseconds: the last uptime that the reporter received plus the
+    /// heartbeat timeout. A heartbeat with a longer uptime refutes the report.
     pub uptime_ms: u64,
-    /// Who says so.
+    /// The instance that made the report.
     pub reporter: InstanceName,
 }
 
-/// One piece of news.
+/// An item of a gossip message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipItem {
     /// A heartbeat of another instance.
-    Beat(InstanceHeartbeat),
-    /// A silent instance.
-    Silence(FailureReport),
+    Heartbeat(InstanceHeartbeat),
+    /// A report of an unresponsive instance.
+    Failure(FailureReport),
 }
 
-/// One message of an exchange.
+/// One message of a heartbeat exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMessage {
     /// The sender's own heartbeat.
-    pub beat: InstanceHeartbeat,
-    /// Whether the sender knows so few instances that it wants all
-    /// heartbeats.
+    pub heartbeat: InstanceHeartbeat,
+    /// Whether the sender requests all heartbeats, since it knows only part of
+    /// the listed instances.
     pub joining: bool,
-    /// What it passes on.
+    /// Heartbeats and failure reports of other instances.
     pub items: Vec<GossipItem>,
 }
--- a/crates/hibiscus-membership/src/lib.rs
+++ b/crates/hibiscus-membership/src/lib.rs
@@ -1,14 +1,17 @@
-//! Which instances and servers there are, as one process sees it.
+//! Fleet membership and failure detection, as seen by one process.
 //!
-//! The platform's instance list lags, and heartbeats get lost, so two
-//! processes may see different fleets at the same time. Nothing here decides
-//! what must be agreed: a wrong view costs an extra hop, and the ledger's
-//! fold decides. [`view`] merges the list with the heartbeats, [`neighbours`]
-//! chooses with whom an instance exchanges them and [`gossip`] what they tell
-//! each other, [`ranking`] orders instances for a shard or a caller, and
-//! [`address`] makes the answers that callers get. [`rings`] and [`detector`]
-//! say who answers in a fleet whose instances watch a few others each, and tell
-//! each other so ([`suspicion`]).
+//! The platform's instance list lags and heartbeats get lost, so two processes
+//! may see different fleets at the same time. Nothing here needs agreement
+//! between instances: a wrong view costs an extra hop, and the ledger's fold
+//! has the final say.
+//!
+//! - [`view`] merges the platform's instance list with heartbeats. An instance
+//!   exchanges heartbeats with its [`neighbours`], in [`gossip`] messages.
+//! - [`ranking`] orders instances by rendezvous hashing for a shard or a caller,
+//!   and [`address`] ranks the addresses that callers receive.
+//! - [`detector`] detects instances that stopped responding in fleets where each
+//!   instance monitors only a few others, which it selects with [`rings`] and
+//!   whose [`suspicion`]s spread by gossip.
 
 pub mod address;
 pub mod detector;
--- a/crates/hibiscus-membership/src/ranking.rs
+++ b/crates/hibiscus-membership/src/ranking.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: each key ranks the instances in its own order, and a
+//! Rendezvous hashing of instances: each key has its own ranking of them, and a
 //! change of membership moves only the keys of the changed instance.
 
 use std::collections::BTreeSet;
@@ -7,7 +7,7 @@
 
 use crate::view::FleetInstance;
 
-/// Orders `instances` for `key`, best first.
+/// Ranks `instances` for `key`, best first.
 pub fn rank<'a>(key: &[u8], instances: &'a [FleetInstance]) -> Vec<&'a FleetInstance> {
     let mut ranked: Vec<&FleetInstance> = instances.iter().collect();
     ranked.sort_by_key(|instance| {
@@ -17,8 +17,8 @@
     ranked
 }
 
-/// The first `count` instances for `key`, from distinct data centres as long
-/// as there are any left.
+/// Returns the best `count` instances for `key`, from distinct data centres
+/// while there are any left.
 pub fn spread<'a>(
     key: &[u8],
     instances: &'a [FleetInstance],
--- a/crates/hibiscus-membership/src/rings.rs
+++ b/crates/hibiscus-membership/src/rings.rs
@@ -1,10 +1,10 @@
-//! Who watches whom in a fleet of any size.
+//! Selects which instances monitor which others in a fleet of any size.
 //!
-//! In a small fleet all watch all. In a larger one the names stand on several
-//! rings, each in an order of its own, and an instance watches on each ring
-//! those that follow it, up to and with the first that it holds to answer. So
-//! whoever answers is watched by about one on each ring, and one that follows
-//! a silent instance does not go without.
+//! In a small fleet, every instance monitors all others. In a larger one the
+//! names are placed on several rings, each with its own order. On each ring an
+//! instance monitors its successors up to and including the first that it
+//! believes responsive. A responsive instance therefore has about one monitor
+//! on each ring, also when its predecessor is unresponsive.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -12,12 +12,14 @@
 use hibiscus_types::InstanceName;
 use hibiscus_types::hash::stable_hash;
 
-/// Other instances up to which an instance watches all of them.
+/// Number of other instances up to which an instance monitors all of them.
 pub const FULL_MONITORING_LIMIT: usize = 8;
-/// Rings: as many watch an instance, so that one wrong one is outvoted.
+/// Number of rings, and so of monitors of an instance: enough that a single
+/// wrong monitor is outvoted.
 pub const RING_COUNT: u64 = 4;
-/// Instances that one watches on a ring at most, after the loss of many.
-pub const RUN_LIMIT: usize = 8;
+/// Most instances that an instance monitors on one ring, after many have
+/// failed.
+pub const SUCCESSOR_LIMIT: usize = 8;
 
 /// The names of the other instances, in the order of each ring.
 #[derive(Clone, Debug)]
@@ -27,7 +29,7 @@
 }
 
 impl MonitorRings {
-    /// Rings on which only `own` stands.
+    /// Creates the rings of the instance `own`, without other instances.
     pub fn new(own: InstanceName) -> Self {
         Self {
             own,
@@ -38,41 +40,44 @@
     /// Adds an instance.
     pub fn insert(&mut self, name: &InstanceName) {
         for (number, ring) in (0..).zip(&mut self.rings) {
-            ring.insert((place(number, name), name.clone()));
+            ring.insert((position(number, name), name.clone()));
         }
     }
 
-    /// Removes an instance that is gone for good.
+    /// Removes an instance that has left the fleet.
     pub fn remove(&mut self, name: &InstanceName) {
         for (number, ring) in (0..).zip(&mut self.rings) {
-            ring.remove(&(place(number, name), name.clone()));
+            ring.remove(&(position(number, name), name.clone()));
         }
     }
 
-    /// The instances that the own one watches, while those for which `answers`
-    /// holds are held to answer.
-    pub fn watched(&self, answers: impl Fn(&InstanceName) -> bool) -> BTreeSet<InstanceName> {
-        let mut watched = BTreeSet::new();
+    /// Returns the instances that this instance monitors; `is_responsive` says
+    /// which instances it believes responsive.
+    pub fn monitored(
+        &self,
+        is_responsive: impl Fn(&InstanceName) -> bool,
+    ) -> BTreeSet<InstanceName> {
+        let mut monitored = BTreeSet::new();
         for (number, ring) in (0..).zip(&self.rings) {
             if ring.len() <= FULL_MONITORING_LIMIT {
-                watched.extend(ring.iter().map(|(_place, name)| name.clone()));
+                monitored.extend(ring.iter().map(|(_position, name)| name.clone()));
                 continue;
             }
-            let own = (place(number, &self.own), self.own.clone());
+            let own = (position(number, &self.own), self.own.clone());
             let after = ring.range((Bound::Excluded(&own), Bound::Unbounded));
-            let around = after.chain(ring.range(..&own));
-            for (_place, name) in around.take(RUN_LIMIT) {
-                watched.insert(name.clone());
-                if answers(name) {
+            let successors = after.chain(ring.range(..&own));
+            for (_position, name) in successors.take(SUCCESSOR_LIMIT) {
+                monitored.insert(name.clone());
+                if is_responsive(name) {
                     break;
                 }
             }
         }
-        watched
+        monitored
     }
 }
 
-/// Where `name` stands on the ring `number`.
-fn place(number: u64, name: &InstanceName) -> u64 {
+/// Returns the position of `name` on the ring with number `number`.
+fn position(number: u64, name: &InstanceName) -> u64 {
     stable_hash(&[&number.to_be_bytes(), name.as_str().as_bytes()])
 }
--- a/crates/hibiscus-membership/src/suspicion.rs
+++ b/crates/hibiscus-membership/src/suspicion.rs
@@ -1,43 +1,44 @@
-//! What instances tell each other of who is silent.
+//! Messages about failures between instances that monitor each other.
 
 use hibiscus_types::IncarnationId;
 use hibiscus_types::InstanceName;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a watcher found.
+/// What a monitor found about a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MonitorFinding {
-    /// The process serves.
+    /// The process serves requests.
     Responsive,
-    /// The process does not answer, or does not serve.
+    /// The process does not respond, or does not serve requests.
     Unresponsive,
-    /// The watcher watches it no more.
+    /// The monitor no longer monitors the process.
     Withdrawn,
 }
 
-/// What a watcher says of a process.
+/// A monitor's statement about whether another process has failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureSuspicion {
-    /// The instance.
+    /// The monitored instance.
     pub subject: InstanceName,
-    /// Its process.
+    /// The process of the monitored instance.
     pub incarnation: IncarnationId,
-    /// The watcher.
+    /// The monitor.
     pub reporter: InstanceName,
-    /// The watcher's process.
+    /// The process of the monitor.
     pub process: IncarnationId,
-    /// The watcher's counter: of two verdicts the higher one holds.
+    /// Counter of the monitor: the suspicion with the higher version replaces
+    /// the other.
     pub version: u64,
-    /// What it found.
+    /// What the monitor found.
     pub finding: MonitorFinding,
 }
 
-/// Verdicts that one instance passes on to another.
+/// Suspicions that one instance sends to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspicionMessage {
-    /// Whether the sender asks for all that is known.
+    /// Whether the sender requests all suspicions that the receiver holds.
     pub joining: bool,
-    /// The verdicts.
-    pub verdicts: Vec<FailureSuspicion>,
+    /// The suspicions.
+    pub suspicions: Vec<FailureSuspicion>,
 }
--- a/crates/hibiscus-membership/src/view.rs
+++ b/crates/hibiscus-membership/src/view.rs
@@ -1,4 +1,5 @@
-//! The fleet as one process sees it.
+//! The fleet as seen by one process, merged from the instance list and
+//! heartbeats.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,49 +15,51 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::gossip::CHANGED_ITEM_SENDS;
+use crate::gossip::CHANGED_ITEMS_LIMIT;
 use crate::gossip::FAILURE_REPORT_QUORUM;
 use crate::gossip::FailureReport;
 use crate::gossip::GossipItem;
 use crate::gossip::GossipMessage;
-use crate::gossip::NEWS_LIMIT;
-use crate::gossip::NEWS_REPEATS;
 use crate::gossip::REPAIR_ITEMS;
 use crate::neighbours;
 
-/// Time without a heartbeat after which a neighbour counts as silent.
+/// Time without a heartbeat after which a neighbour counts as unresponsive.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Times that an instance asks for all heartbeats after its start.
-const WHOLE_ASKS: u32 = 16;
-/// One message among so many asks for all heartbeats, so that the asks reach
-/// past the time in which a whole fleet starts.
-const WHOLE_ASK_EVERY: u32 = 2;
+/// Number of messages after its start in which an instance requests all
+/// heartbeats.
+const FULL_REQUEST_COUNT: u32 = 16;
+/// Messages per request for all heartbeats, so that the requests extend past
+/// the time in which a whole fleet starts.
+const FULL_REQUEST_INTERVAL: u32 = 2;
 
-/// Time in which messages of a replaced incarnation are passed over.
-const FORMER_TIME: Duration = Duration::from_secs(60);
+/// Time for which messages of a replaced incarnation are ignored.
+const REPLACED_INCARNATION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What an instance says of itself.
+/// State that an instance reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceHeartbeat {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Its present incarnation.
+    /// Current incarnation of the instance.
     pub incarnation: IncarnationId,
     /// Milliseconds since the incarnation started.
     pub uptime_ms: u64,
-    /// Whether it is stopping.
+    /// Whether the instance is shutting down.
     pub stopping: bool,
-    /// Whether it has a configuration that it may decide by.
+    /// Whether the instance has a configuration that is recent enough to serve
+    /// requests.
     pub configured: bool,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub load: u32,
-    /// The configuration version in force there.
+    /// Version of the active configuration.
     pub config_version: u64,
 }
 
 impl InstanceHeartbeat {
-    /// Whether others must learn of this soon.
-    fn is_news(&self, other: &Self) -> bool {
+    /// Whether the change from `other` must spread quickly.
+    fn is_significant_change(&self, other: &Self) -> bool {
         self.incarnation != other.incarnation
             || self.stopping != other.stopping
             || self.configured != other.configured
@@ -66,11 +69,11 @@
 /// An instance that the platform lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetInstance {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: DataCentre,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionName,
     /// Address of the callers' port.
     pub callers: SocketAddr,
@@ -82,28 +85,30 @@
     pub leaving: bool,
 }
 
-/// What is known of one instance.
+/// The newest state received of one instance.
 #[derive(Clone, Debug)]
 struct KnownInstance {
-    beat: InstanceHeartbeat,
-    /// Time of the last message from itself, or of the first news of it.
-    heard_at: UnixMillis,
-    /// Whether it ever sent a message itself.
+    heartbeat: InstanceHeartbeat,
+    /// Time of the last message from the instance itself; before any, the time
+    /// at which another instance first reported it.
+    received_at: UnixMillis,
+    /// Whether any message came from the instance itself.
     direct: bool,
-    /// The incarnation before, and the time at which it was replaced.
-    former: Option<(IncarnationId, UnixMillis)>,
-    /// Others that call it silent, and up to which uptime.
+    /// The previous incarnation and the time at which it was replaced.
+    previous: Option<(IncarnationId, UnixMillis)>,
+    /// Uptime in milliseconds at which each reporter found the instance
+    /// unresponsive.
     reports: BTreeMap<InstanceName, u64>,
 }
 
-/// News to pass on.
+/// An item that is queued for sending.
 #[derive(Clone, Debug)]
-struct PendingNews {
+struct PendingItem {
     item: GossipItem,
-    repeats: u8,
+    sends_left: u8,
 }
 
-/// The listed instances and what was heard of them.
+/// The listed instances and their last heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     own: InstanceName,
@@ -112,14 +117,14 @@
     neighbours: BTreeSet<InstanceName>,
     known: BTreeMap<InstanceName, KnownInstance>,
     incarnations: BTreeMap<IncarnationId, InstanceName>,
-    news: VecDeque<PendingNews>,
-    reported: BTreeMap<InstanceName, IncarnationId>,
-    repair_from: Option<InstanceName>,
-    messages: u32,
+    pending: VecDeque<PendingItem>,
+    reported_failures: BTreeMap<InstanceName, IncarnationId>,
+    repair_cursor: Option<InstanceName>,
+    joining_messages: u32,
 }
 
 impl FleetView {
-    /// Names the instance whose view this is.
+    /// Sets the name of the instance that owns this view.
     pub fn set_own_name(&mut self, own: &InstanceName) {
         self.own = own.clone();
         self.choose_neighbours();
@@ -137,7 +142,7 @@
             .retain(|name, _known| positions.contains_key(name));
         self.incarnations
             .retain(|_incarnation, name| positions.contains_key(name));
-        self.reported
+        self.reported_failures
             .retain(|name, _incarnation| positions.contains_key(name));
         self.choose_neighbours();
     }
@@ -154,99 +159,106 @@
             .filter_map(|name| self.instance(name))
     }
 
-    /// Whether a neighbour was never heard of.
+    /// Whether no heartbeat of some neighbour has been received.
     pub fn has_unknown_neighbours(&self) -> bool {
         let mut names = self.neighbours.iter();
         names.any(|name| !self.known.contains_key(name))
     }
 
-    /// Takes a heartbeat that its own instance sent and that arrived at
-    /// `now`.
-    pub fn receive_heartbeat(&mut self, beat: InstanceHeartbeat, now: UnixMillis) {
-        let name = beat.name.clone();
-        let incarnation = beat.incarnation;
-        if self.learn(beat.clone(), now) {
-            self.pass_on(GossipItem::Beat(beat));
+    /// Records a heartbeat that its own instance sent and that arrived at `now`.
+    pub fn receive_heartbeat(&mut self, heartbeat: InstanceHeartbeat, now: UnixMillis) {
+        let name = heartbeat.name.clone();
+        let incarnation = heartbeat.incarnation;
+        if self.merge_heartbeat(heartbeat.clone(), now) {
+            self.queue_item(GossipItem::Heartbeat(heartbeat));
         }
         let Some(known) = self.known.get_mut(&name) else {
             return;
         };
-        if known.beat.incarnation == incarnation {
-            known.heard_at = now;
+        if known.heartbeat.incarnation == incarnation {
+            known.received_at = now;
             known.direct = true;
-            self.reported.remove(&name);
+            self.reported_failures.remove(&name);
         }
     }
 
-    /// Takes a heartbeat from its instance or passed on by another one;
-    /// whether it is news.
-    fn learn(&mut self, beat: InstanceHeartbeat, now: UnixMillis) -> bool {
-        let Some(held) = self.known.get(&beat.name) else {
+    /// Merges a heartbeat that arrived directly or through another instance.
+    /// Returns whether the change must spread.
+    fn merge_heartbeat(&mut self, heartbeat: InstanceHeartbeat, now: UnixMillis) -> bool {
+        let Some(held) = self.known.get(&heartbeat.name) else {
             self.incarnations
-                .insert(beat.incarnation, beat.name.clone());
+                .insert(heartbeat.incarnation, heartbeat.name.clone());
             let known = KnownInstance {
-                beat: beat.clone(),
-                heard_at: now,
+                heartbeat: heartbeat.clone(),
+                received_at: now,
                 direct: false,
-                former: None,
+                previous: None,
                 reports: BTreeMap::new(),
             };
-            self.known.insert(beat.name, known);
+            self.known.insert(heartbeat.name, known);
             return true;
         };
-        if !self.supersedes(&beat, held, now) {
+        if !self.supersedes(&heartbeat, held, now) {
             return false;
         }
-        let Some(known) = self.known.get_mut(&beat.name) else {
+        let Some(known) = self.known.get_mut(&heartbeat.name) else {
             return false;
         };
-        let mut news = beat.is_news(&known.beat);
-        if beat.incarnation != known.beat.incarnation {
-            known.former = Some((known.beat.incarnation, now));
+        let mut changed = heartbeat.is_significant_change(&known.heartbeat);
+        if heartbeat.incarnation != known.heartbeat.incarnation {
+            known.previous = Some((known.heartbeat.incarnation, now));
             known.reports.clear();
-            known.heard_at = now;
-            self.incarnations.remove(&known.beat.incarnation);
+            known.received_at = now;
+            self.incarnations.remove(&known.heartbeat.incarnation);
             self.incarnations
-                .insert(beat.incarnation, beat.name.clone());
+                .insert(heartbeat.incarnation, heartbeat.name.clone());
         }
         let reports = known.reports.len();
-        let uptime = beat.uptime_ms;
-        known.reports.retain(|_reporter, silent| *silent >= uptime);
-        news |= known.reports.len() < reports;
-        known.beat = beat;
-        news
+        let uptime = heartbeat.uptime_ms;
+        known
+            .reports
+            .retain(|_reporter, reported| *reported >= uptime);
+        changed |= known.reports.len() < reports;
+        known.heartbeat = heartbeat;
+        changed
     }
 
-    /// Whether `beat` replaces what is `held`. Incarnations are ordered by the
-    /// clock at their start; a clock may be behind, so an earlier one counts
-    /// too once the held one is silent, and the one that was replaced lately
-    /// does not come back.
-    fn supersedes(&self, beat: &InstanceHeartbeat, held: &KnownInstance, now: UnixMillis) -> bool {
-        if beat.incarnation == held.beat.incarnation {
-            return beat.uptime_ms > held.beat.uptime_ms;
+    /// Whether `heartbeat` replaces the `held` one. Incarnations are ordered by
+    /// the clock at their start. Since a clock may be behind, an earlier
+    /// incarnation is also accepted once the held one is unresponsive, except
+    /// one that was replaced recently.
+    fn supersedes(
+        &self,
+        heartbeat: &InstanceHeartbeat,
+        held: &KnownInstance,
+        now: UnixMillis,
+    ) -> bool {
+        if heartbeat.incarnation == held.heartbeat.incarnation {
+            return heartbeat.uptime_ms > held.heartbeat.uptime_ms;
         }
-        let replaced = held.former.is_some_and(|(incarnation, at)| {
-            incarnation == beat.incarnation && now.since(at) < FORMER_TIME
+        let recently_replaced = held.previous.is_some_and(|(incarnation, at)| {
+            incarnation == heartbeat.incarnation && now.since(at) < REPLACED_INCARNATION_TIMEOUT
         });
-        if replaced {
+        if recently_replaced {
             return false;
         }
-        beat.incarnation > held.beat.incarnation || self.is_silent(&beat.name, held, now)
+        heartbeat.incarnation > held.heartbeat.incarnation
+            || self.is_unresponsive(&heartbeat.name, held, now)
     }
 
-    /// Takes another instance's word that one is silent.
-    fn learn_silence(&mut self, report: FailureReport) {
+    /// Merges another instance's report that an instance is unresponsive.
+    fn merge_failure_report(&mut self, report: FailureReport) {
         let Some(known) = self.known.get_mut(&report.name) else {
             return;
         };
-        let stale =
-            known.beat.incarnation != report.incarnation || known.beat.uptime_ms > report.uptime_ms;
+        let stale = known.heartbeat.incarnation != report.incarnation
+            || known.heartbeat.uptime_ms > report.uptime_ms;
         if stale || report.name == self.own {
-            // The own heartbeat in every message refutes it; so does the
-            // newer one that is known here.
-            let beat = known.beat.clone();
-            if known.beat.incarnation == report.incarnation {
-                self.pass_on(GossipItem::Beat(beat));
+            // A report about this instance is refuted by the heartbeat in each
+            // of its messages, an outdated one by the newer heartbeat held here.
+            let heartbeat = known.heartbeat.clone();
+            if known.heartbeat.incarnation == report.incarnation {
+                self.queue_item(GossipItem::Heartbeat(heartbeat));
             }
             return;
         }
@@ -254,150 +266,152 @@
             .reports
             .insert(report.reporter.clone(), report.uptime_ms);
         if before.is_none_or(|uptime| uptime < report.uptime_ms) {
-            self.pass_on(GossipItem::Silence(report));
+            self.queue_item(GossipItem::Failure(report));
         }
     }
 
-    /// Queues news, unless the same is queued already.
-    fn pass_on(&mut self, item: GossipItem) {
+    /// Queues an item, replacing an equal one and, for a heartbeat, older
+    /// heartbeats of the same instance.
+    fn queue_item(&mut self, item: GossipItem) {
         let name = item_name(&item);
-        if *name == self.own && !matches!(item, GossipItem::Beat(_)) {
+        if *name == self.own && !matches!(item, GossipItem::Heartbeat(_)) {
             return;
         }
-        let beat = matches!(item, GossipItem::Beat(_));
-        self.news.retain(|pending| {
+        let is_heartbeat = matches!(item, GossipItem::Heartbeat(_));
+        self.pending.retain(|pending| {
             let same = item_name(&pending.item) == name;
-            let replaced = beat && matches!(pending.item, GossipItem::Beat(_));
+            let replaced = is_heartbeat && matches!(pending.item, GossipItem::Heartbeat(_));
             !(same && (replaced || pending.item == item))
         });
-        self.news.push_back(PendingNews {
+        self.pending.push_back(PendingItem {
             item,
-            repeats: NEWS_REPEATS,
+            sends_left: CHANGED_ITEM_SENDS,
         });
     }
 
-    /// The next message to a neighbour.
-    pub fn message(&mut self, beat: InstanceHeartbeat) -> GossipMessage {
-        let joining = self.asks_for_all();
+    /// Returns the next message to a neighbour.
+    pub fn message(&mut self, heartbeat: InstanceHeartbeat) -> GossipMessage {
+        let joining = self.requests_all_heartbeats();
         let items = self.next_items();
         GossipMessage {
-            beat,
+            heartbeat,
             joining,
             items,
         }
     }
 
-    /// The reply to a message, with all heartbeats when its sender is
+    /// Returns the reply to a message, with all heartbeats if its sender is
     /// `joining`.
-    pub fn reply(&mut self, beat: InstanceHeartbeat, joining: bool) -> GossipMessage {
+    pub fn reply(&mut self, heartbeat: InstanceHeartbeat, joining: bool) -> GossipMessage {
         let items = if joining {
             let all = self.known.values();
-            all.map(|known| GossipItem::Beat(known.beat.clone()))
+            all.map(|known| GossipItem::Heartbeat(known.heartbeat.clone()))
                 .collect()
         } else {
             self.next_items()
         };
         GossipMessage {
-            beat,
+            heartbeat,
             joining: false,
             items,
         }
     }
 
-    /// News and repairs for one message.
+    /// Returns the changed items and repair items for one message.
     fn next_items(&mut self) -> Vec<GossipItem> {
-        let mut items = Vec::with_capacity(NEWS_LIMIT + REPAIR_ITEMS);
-        self.take_news(&mut items);
-        self.take_repairs(&mut items);
+        let mut items = Vec::with_capacity(CHANGED_ITEMS_LIMIT + REPAIR_ITEMS);
+        self.append_changed_items(&mut items);
+        self.append_repair_items(&mut items);
         items
     }
 
-    /// Whether to ask for all heartbeats: while some are missing, but only
-    /// so often, since some instances may never have been heard by anyone.
-    fn asks_for_all(&mut self) -> bool {
+    /// Whether to request all heartbeats: while some are missing, but only a
+    /// limited number of times, since some instances may never have sent one.
+    fn requests_all_heartbeats(&mut self) -> bool {
         let missing = self.instances.len().saturating_sub(self.known.len());
-        if missing == 0 || self.messages >= WHOLE_ASKS * WHOLE_ASK_EVERY {
+        if missing == 0 || self.joining_messages >= FULL_REQUEST_COUNT * FULL_REQUEST_INTERVAL {
             return false;
         }
-        self.messages += 1;
-        self.messages % WHOLE_ASK_EVERY == 1
+        self.joining_messages += 1;
+        self.joining_messages % FULL_REQUEST_INTERVAL == 1
     }
 
-    fn take_news(&mut self, items: &mut Vec<GossipItem>) {
-        for _item in 0..self.news.len().min(NEWS_LIMIT) {
-            let Some(mut pending) = self.news.pop_front() else {
+    fn append_changed_items(&mut self, items: &mut Vec<GossipItem>) {
+        for _item in 0..self.pending.len().min(CHANGED_ITEMS_LIMIT) {
+            let Some(mut pending) = self.pending.pop_front() else {
                 return;
             };
             items.push(pending.item.clone());
-            pending.repeats -= 1;
-            if pending.repeats > 0 {
-                self.news.push_back(pending);
+            pending.sends_left -= 1;
+            if pending.sends_left > 0 {
+                self.pending.push_back(pending);
             }
         }
     }
 
-    /// Adds the next heartbeats in turn. Where all are neighbours, nothing
-    /// needs repair.
-    fn take_repairs(&mut self, items: &mut Vec<GossipItem>) {
+    /// Adds the next heartbeats in turn. A fleet in which all instances are
+    /// neighbours needs no repair.
+    fn append_repair_items(&mut self, items: &mut Vec<GossipItem>) {
         if self.instances.len() <= neighbours::FULL_MESH_LIMIT + 1 {
             return;
         }
         for _item in 0..REPAIR_ITEMS {
-            let after = self.repair_from.take();
+            let after = self.repair_cursor.take();
             let next = self.known.iter().find(|(name, _known)| {
                 after.as_ref().is_none_or(|after| *name > after) && **name != self.own
             });
             let Some((name, known)) = next else {
                 return;
             };
-            items.push(GossipItem::Beat(known.beat.clone()));
-            self.repair_from = Some(name.clone());
+            items.push(GossipItem::Heartbeat(known.heartbeat.clone()));
+            self.repair_cursor = Some(name.clone());
         }
     }
 
-    /// Takes a message that arrived at `now`.
+    /// Merges a message that arrived at `now`.
     pub fn receive_message(&mut self, message: GossipMessage, now: UnixMillis) {
-        self.receive_heartbeat(message.beat, now);
-        // All heartbeats, for one who joins, are no news to the others.
-        let whole = message.items.len() > NEWS_LIMIT + REPAIR_ITEMS;
+        self.receive_heartbeat(message.heartbeat, now);
+        // A response with all heartbeats contains no changes for the others.
+        let is_full = message.items.len() > CHANGED_ITEMS_LIMIT + REPAIR_ITEMS;
         for item in message.items {
             match item {
-                GossipItem::Beat(beat) if beat.name != self.own => {
-                    if self.learn(beat.clone(), now) && !whole {
-                        self.pass_on(GossipItem::Beat(beat));
+                GossipItem::Heartbeat(heartbeat) if heartbeat.name != self.own => {
+                    if self.merge_heartbeat(heartbeat.clone(), now) && !is_full {
+                        self.queue_item(GossipItem::Heartbeat(heartbeat));
                     }
                 }
-                GossipItem::Beat(_) => {}
-                GossipItem::Silence(report) => self.learn_silence(report),
+                GossipItem::Heartbeat(_) => {}
+                GossipItem::Failure(report) => self.merge_failure_report(report),
             }
         }
     }
 
-    /// Reports neighbours that have fallen silent, and names them.
-    pub fn report_silent_neighbours(&mut self, now: UnixMillis) -> Vec<InstanceName> {
-        let silence_ms = u64::try_from(HEARTBEAT_TIMEOUT.as_millis()).unwrap_or(u64::MAX);
-        let mut silent = Vec::new();
+    /// Queues failure reports for neighbours that became unresponsive, and
+    /// returns their names.
+    pub fn report_unresponsive_neighbours(&mut self, now: UnixMillis) -> Vec<InstanceName> {
+        let timeout_ms = u64::try_from(HEARTBEAT_TIMEOUT.as_millis()).unwrap_or(u64::MAX);
+        let mut failures = Vec::new();
         for name in &self.neighbours {
             let Some(known) = self.known.get(name) else {
                 continue;
             };
-            let incarnation = known.beat.incarnation;
-            let told = self.reported.get(name) == Some(&incarnation);
-            if !told && now.since(known.heard_at) > HEARTBEAT_TIMEOUT {
-                silent.push(FailureReport {
+            let incarnation = known.heartbeat.incarnation;
+            let already_reported = self.reported_failures.get(name) == Some(&incarnation);
+            if !already_reported && now.since(known.received_at) > HEARTBEAT_TIMEOUT {
+                failures.push(FailureReport {
                     name: name.clone(),
                     incarnation,
-                    uptime_ms: known.beat.uptime_ms + silence_ms,
+                    uptime_ms: known.heartbeat.uptime_ms + timeout_ms,
                     reporter: self.own.clone(),
                 });
             }
         }
-        let mut names = Vec::with_capacity(silent.len());
-        for report in silent {
+        let mut names = Vec::with_capacity(failures.len());
+        for report in failures {
             names.push(report.name.clone());
-            self.reported
+            self.reported_failures
                 .insert(report.name.clone(), report.incarnation);
-            self.pass_on(GossipItem::Silence(report));
+            self.queue_item(GossipItem::Failure(report));
         }
         names
     }
@@ -407,36 +421,36 @@
         &self.instances
     }
 
-    /// The listed instance `name`.
+    /// Returns the listed instance `name`.
     pub fn instance(&self, name: &InstanceName) -> Option<&FleetInstance> {
         self.instances.get(*self.positions.get(name)?)
     }
 
-    /// The instance whose last heartbeat came from `incarnation`.
+    /// Returns the instance whose last heartbeat came from `incarnation`.
     pub fn instance_of(&self, incarnation: IncarnationId) -> Option<&FleetInstance> {
         self.instance(self.incarnations.get(&incarnation)?)
     }
 
-    /// The last heartbeat of `name`.
+    /// Returns the last heartbeat of `name`.
     pub fn heartbeat_of(&self, name: &InstanceName) -> Option<&InstanceHeartbeat> {
-        self.known.get(name).map(|known| &known.beat)
+        self.known.get(name).map(|known| &known.heartbeat)
     }
 
-    /// Whether most of the listed instances were heard of.
+    /// Whether heartbeats of most listed instances have been received.
     pub fn knows_majority(&self) -> bool {
         self.known.len() * 2 > self.instances.len()
     }
 
-    /// The instance other than the own one that lately told the highest
-    /// configuration version in force, and that version.
+    /// Returns the other instance that recently reported the highest active
+    /// configuration version, and that version.
     pub fn newest_config(&self, now: UnixMillis) -> Option<(&FleetInstance, u64)> {
         let mut newest = None;
         for (name, known) in &self.known {
-            let recent = known.direct && now.since(known.heard_at) <= HEARTBEAT_TIMEOUT;
+            let recent = known.direct && now.since(known.received_at) <= HEARTBEAT_TIMEOUT;
             if *name == self.own || !recent {
                 continue;
             }
-            let version = known.beat.config_version;
+            let version = known.heartbeat.config_version;
             if newest.is_none_or(|(_name, highest)| version > highest) {
                 newest = Some((name, version));
             }
@@ -445,27 +459,28 @@
         Some((self.instance(name)?, version))
     }
 
-    /// Whether nothing was heard of `name` lately, as far as this view can
-    /// tell.
-    fn is_silent(&self, name: &InstanceName, known: &KnownInstance, now: UnixMillis) -> bool {
+    /// Whether `name` is unresponsive according to this instance's heartbeats
+    /// with it or, if it is no neighbour, to reports of other instances.
+    fn is_unresponsive(&self, name: &InstanceName, known: &KnownInstance, now: UnixMillis) -> bool {
         if self.neighbours.contains(name) {
-            return now.since(known.heard_at) > HEARTBEAT_TIMEOUT;
+            return now.since(known.received_at) > HEARTBEAT_TIMEOUT;
         }
         *name != self.own && known.reports.len() >= FAILURE_REPORT_QUORUM
     }
 
-    /// The instances of [`Self::ready`] that have a configuration to decide
-    /// by: those that callers may be sent to.
+    /// Returns the instances of [`Self::ready`] that are configured. Callers may
+    /// be directed to these.
     pub fn serving(&self, now: UnixMillis) -> Vec<FleetInstance> {
         let mut serving = self.ready(now);
         serving.retain(|instance| {
-            let beat = self.heartbeat_of(&instance.name);
-            beat.is_some_and(|beat| beat.configured)
+            let heartbeat = self.heartbeat_of(&instance.name);
+            heartbeat.is_some_and(|heartbeat| heartbeat.configured)
         });
         serving
     }
 
-    /// Instances that are listed as live, not silent and not stopping.
+    /// Returns the instances that are not listed as leaving, are responsive and
+    /// are not shutting down.
     pub fn ready(&self, now: UnixMillis) -> Vec<FleetInstance> {
         let mut ready = Vec::new();
         for instance in &self.instances {
@@ -475,8 +490,8 @@
             let Some(known) = self.known.get(&instance.name) else {
                 continue;
             };
-            let beat = &known.beat;
-            if beat.stopping || self.is_silent(&instance.name, known, now) {
+            let heartbeat = &known.heartbeat;
+            if heartbeat.stopping || self.is_unresponsive(&instance.name, known, now) {
                 continue;
             }
             ready.push(instance.clone());
@@ -484,16 +499,17 @@
         ready
     }
 
-    /// Requests in progress at `name`, as last heard.
+    /// Returns the number of requests in progress that `name` last reported.
     pub fn load_of(&self, name: &InstanceName) -> u32 {
-        self.heartbeat_of(name).map_or(0, |beat| beat.load)
+        self.heartbeat_of(name)
+            .map_or(0, |heartbeat| heartbeat.load)
     }
 }
 
-/// The instance that `item` is about.
+/// Returns the name of the instance that `item` is about.
 fn item_name(item: &GossipItem) -> &InstanceName {
     match item {
-        GossipItem::Beat(beat) => &beat.name,
-        GossipItem::Silence(report) => &report.name,
+        GossipItem::Heartbeat(heartbeat) => &heartbeat.name,
+        GossipItem::Failure(report) => &report.name,
     }
 }
--- a/crates/hibiscus-membership/tests/detector.rs
+++ b/crates/hibiscus-membership/tests/detector.rs
@@ -1,4 +1,5 @@
-//! Fleets whose instances watch a few others each and tell what they find.
+//! Failure detection in simulated fleets whose instances monitor each other and
+//! exchange their findings.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,15 +17,15 @@
 
 /// Time between two rounds, in milliseconds.
 const ROUND_MS: u64 = 200;
-/// Rounds between two questions to a watched instance.
-const ASK_ROUNDS: usize = 4;
-/// Rounds between two slow exchanges.
+/// Rounds between two probes of a monitored instance.
+const PROBE_ROUNDS: usize = 4;
+/// Rounds between two periodic exchanges.
 const EXCHANGE_ROUNDS: usize = 10;
-/// Rounds within which a death is known to all: 2 s.
-const KNOWN_ROUNDS: usize = 10;
-/// Steps of passing news on in a round.
-const HOPS: usize = 2;
-/// Largest message that the link between instances takes, in bytes.
+/// Rounds within which all instances detect a failure: 2 s.
+const DETECTION_ROUNDS: usize = 10;
+/// Times that updates are forwarded in a round.
+const HOPS_PER_ROUND: usize = 2;
+/// Largest message that the link between instances accepts, in bytes.
 const MESSAGE_BYTES: usize = 64 * 1024;
 
 fn name(number: usize) -> InstanceName {
@@ -32,9 +33,9 @@
 }
 
 /// Pseudo-random numbers from a fixed seed.
-struct Draws(u64);
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn below(&mut self, limit: usize) -> usize {
         self.0 = self
             .0
@@ -44,56 +45,57 @@
     }
 }
 
-/// One machine.
-struct Machine {
+/// One simulated instance.
+struct Member {
     detector: FailureDetector,
     incarnation: u128,
-    runs: bool,
-    cut: bool,
+    running: bool,
+    cut_off: bool,
 }
 
-/// A fleet and the messages between its instances.
+/// A simulated fleet with the messages between its instances.
 struct Fleet {
-    machines: Vec<Machine>,
+    members: Vec<Member>,
     numbers: BTreeMap<InstanceName, usize>,
     round: usize,
-    draws: Draws,
-    /// One that asks another and gets no answer, while all else passes.
-    broken: Option<(usize, usize)>,
-    /// Messages of a hundred that get lost.
+    random: Random,
+    /// A member and another one whose responses to its probes get lost, while
+    /// all other messages arrive.
+    broken_path: Option<(usize, usize)>,
+    /// Percentage of messages that get lost.
     lost: usize,
-    /// Messages sent, replies included.
+    /// Messages sent, including responses.
     messages: usize,
 }
 
 impl Fleet {
     fn new(count: usize) -> Self {
         let mut fleet = Self {
-            machines: Vec::new(),
+            members: Vec::new(),
             numbers: (0..count).map(|number| (name(number), number)).collect(),
             round: 0,
-            draws: Draws(17),
-            broken: None,
+            random: Random(17),
+            broken_path: None,
             lost: 0,
             messages: 0,
         };
         for number in 0..count {
-            let mut machine = Machine {
+            let mut member = Member {
                 detector: FailureDetector::new(name(number), IncarnationId::from_u128(1)),
                 incarnation: 1,
-                runs: true,
-                cut: false,
+                running: true,
+                cut_off: false,
             };
             for other in 0..count {
                 let incarnation = IncarnationId::from_u128(1);
-                let detector = &mut machine.detector;
+                let detector = &mut member.detector;
                 detector.announce(&name(other), incarnation, false, Duration::ZERO);
             }
-            machine.detector.tick(Duration::ZERO);
-            fleet.machines.push(machine);
+            member.detector.tick(Duration::ZERO);
+            fleet.members.push(member);
         }
-        // All are past their start.
-        fleet.rounds(2 * KNOWN_ROUNDS);
+        // All members are past their startup grace.
+        fleet.rounds(2 * DETECTION_ROUNDS);
         fleet
     }
 
@@ -102,55 +104,56 @@
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let (from, to) = (&self.machines[from], &self.machines[to]);
-        from.runs && to.runs && !from.cut && !to.cut
+        let (from, to) = (&self.members[from], &self.members[to]);
+        from.running && to.running && !from.cut_off && !to.cut_off
     }
 
     fn rounds(&mut self, count: usize) {
         for _round in 0..count {
             self.round += 1;
-            self.ask();
-            for _hop in 0..HOPS {
-                self.pass_news();
+            self.probe();
+            for _hop in 0..HOPS_PER_ROUND {
+                self.send_updates();
             }
             self.exchange();
             let now = self.now();
-            for machine in &mut self.machines {
-                machine.detector.tick(now);
+            for member in &mut self.members {
+                member.detector.tick(now);
             }
         }
     }
 
-    fn ask(&mut self) {
+    fn probe(&mut self) {
         let now = self.now();
-        for number in 0..self.machines.len() {
-            if !self.machines[number].runs || !(self.round + number).is_multiple_of(ASK_ROUNDS) {
+        for number in 0..self.members.len() {
+            if !self.members[number].running || !(self.round + number).is_multiple_of(PROBE_ROUNDS)
+            {
                 continue;
             }
-            for watched in self.machines[number].detector.monitored().clone() {
-                let other = self.numbers[&watched];
-                let broken = self.broken == Some((number, other));
-                let serves = self.reaches(number, other) && !broken;
+            for monitored in self.members[number].detector.monitored().clone() {
+                let other = self.numbers[&monitored];
+                let broken_path = self.broken_path == Some((number, other));
+                let serves = self.reaches(number, other) && !broken_path;
                 self.messages += 2;
-                let incarnation = IncarnationId::from_u128(self.machines[other].incarnation);
-                let detector = &mut self.machines[number].detector;
-                detector.record_finding(&watched, incarnation, serves, now);
+                let incarnation = IncarnationId::from_u128(self.members[other].incarnation);
+                let detector = &mut self.members[number].detector;
+                detector.record_finding(&monitored, incarnation, serves, now);
             }
         }
     }
 
     fn contacts(&self, number: usize) -> Vec<usize> {
-        let contacts = self.machines[number].detector.contacts();
+        let contacts = self.members[number].detector.contacts();
         contacts.map(|contact| self.numbers[contact]).collect()
     }
 
-    fn pass_news(&mut self) {
-        for number in 0..self.machines.len() {
-            let machine = &mut self.machines[number];
-            if !machine.runs {
+    fn send_updates(&mut self) {
+        for number in 0..self.members.len() {
+            let member = &mut self.members[number];
+            if !member.running {
                 continue;
             }
-            let Some(message) = machine.detector.next_update() else {
+            let Some(message) = member.detector.next_update() else {
                 continue;
             };
             for contact in self.contacts(number) {
@@ -160,8 +163,9 @@
     }
 
     fn exchange(&mut self) {
-        for number in 0..self.machines.len() {
-            if !self.machines[number].runs || !(self.round + number).is_multiple_of(EXCHANGE_ROUNDS)
+        for number in 0..self.members.len() {
+            if !self.members[number].running
+                || !(self.round + number).is_multiple_of(EXCHANGE_ROUNDS)
             {
                 continue;
             }
@@ -169,84 +173,83 @@
             if contacts.is_empty() {
                 continue;
             }
-            let contact = contacts[self.draws.below(contacts.len())];
-            let message = self.machines[number].detector.next_exchange();
+            let contact = contacts[self.random.below(contacts.len())];
+            let message = self.members[number].detector.next_exchange();
             let joining = message.joining;
             if self.send(number, contact, message) && joining {
-                self.machines[number].detector.record_join_response();
+                self.members[number].detector.record_join_response();
             }
         }
     }
 
-    /// Sends a message; true when its answer came.
+    /// Sends a message; returns true if the response arrived.
     fn send(&mut self, from: usize, to: usize, message: SuspicionMessage) -> bool {
         let now = self.now();
         self.messages += 1;
-        if !self.reaches(from, to) || self.draws.below(100) < self.lost {
+        if !self.reaches(from, to) || self.random.below(100) < self.lost {
             return false;
         }
-        let answer = self.machines[to].detector.receive(message, now);
+        let response = self.members[to].detector.receive(message, now);
         self.messages += 1;
-        if self.draws.below(100) < self.lost {
+        if self.random.below(100) < self.lost {
             return false;
         }
-        self.machines[from].detector.receive_response(answer, now);
+        self.members[from].detector.receive_response(response, now);
         true
     }
 
     fn kill(&mut self, number: usize) {
-        self.machines[number].runs = false;
+        self.members[number].running = false;
     }
 
     fn restart(&mut self, number: usize, incarnation: u128) {
         let process = IncarnationId::from_u128(incarnation);
         let now = self.now();
         let mut detector = FailureDetector::new(name(number), process);
-        for (other, machine) in self.machines.iter_mut().enumerate() {
-            let theirs = IncarnationId::from_u128(machine.incarnation);
+        for (other, member) in self.members.iter_mut().enumerate() {
+            let theirs = IncarnationId::from_u128(member.incarnation);
             detector.announce(&name(other), theirs, false, now);
-            machine
-                .detector
-                .announce(&name(number), process, false, now);
-            machine.detector.tick(now);
+            member.detector.announce(&name(number), process, false, now);
+            member.detector.tick(now);
         }
         detector.tick(now);
-        self.machines[number] = Machine {
+        self.members[number] = Member {
             detector,
             incarnation,
-            runs: true,
-            cut: false,
+            running: true,
+            cut_off: false,
         };
     }
 
-    /// Those that run and are not cut off, and hold `number` silent.
-    fn holding_silent(&self, number: usize) -> usize {
+    /// Returns how many running and connected members consider `number`
+    /// unresponsive.
+    fn considering_unresponsive(&self, number: usize) -> usize {
         let sound = self
-            .machines
+            .members
             .iter()
-            .filter(|machine| machine.runs && !machine.cut);
+            .filter(|member| member.running && !member.cut_off);
         sound
-            .filter(|machine| machine.detector.is_unresponsive(&name(number)))
+            .filter(|member| member.detector.is_unresponsive(&name(number)))
             .count()
     }
 
-    /// Those that watch `number`.
-    fn watchers(&self, number: usize) -> Vec<usize> {
-        let watches = |machine: &Machine| machine.detector.monitored().contains(&name(number));
-        let machines = self.machines.iter().enumerate();
-        machines
-            .filter(|(_number, machine)| watches(machine))
+    /// Returns the monitors of `number`.
+    fn monitors(&self, number: usize) -> Vec<usize> {
+        let is_monitor = |member: &Member| member.detector.monitored().contains(&name(number));
+        let members = self.members.iter().enumerate();
+        members
+            .filter(|(_number, member)| is_monitor(member))
             .map(|(number, _machine)| number)
             .collect()
     }
 }
 
-/// Guards against questions that grow with the square of the fleet.
+/// Guards against probes whose number grows with the square of the fleet size.
 #[test]
-fn an_instance_of_a_large_fleet_watches_few_and_is_watched_by_several() {
+fn an_instance_of_a_large_fleet_monitors_few_and_has_several_monitors() {
     let rings = usize::try_from(RING_COUNT).expect("small");
     for count in [62, 810] {
-        let mut watchers: BTreeMap<InstanceName, usize> = BTreeMap::new();
+        let mut monitors: BTreeMap<InstanceName, usize> = BTreeMap::new();
         for number in 0..count {
             let mut detector = FailureDetector::new(name(number), IncarnationId::from_u128(1));
             for other in 0..count {
@@ -255,30 +258,32 @@
             }
             detector.tick(Duration::ZERO);
             assert!(detector.monitored().len() <= rings, "{count} instances");
-            for watched in detector.monitored() {
-                *watchers.entry(watched.clone()).or_default() += 1;
+            for monitored in detector.monitored() {
+                *monitors.entry(monitored.clone()).or_default() += 1;
             }
         }
         for number in 0..count {
-            let watching = watchers[&name(number)];
+            let watching = monitors[&name(number)];
             assert!((2..=rings).contains(&watching), "{watching} of {count}");
         }
     }
 }
 
-/// Guards against a small fleet that learns of a death by hearsay.
+/// Guards against a small fleet in which failures are detected through reports
+/// of others only.
 #[test]
-fn all_instances_of_a_small_fleet_watch_all_others() {
+fn all_instances_of_a_small_fleet_monitor_all_others() {
     let fleet = Fleet::new(FULL_MONITORING_LIMIT + 1);
     for number in 0..=FULL_MONITORING_LIMIT {
-        assert_eq!(fleet.watchers(number).len(), FULL_MONITORING_LIMIT);
-        assert_eq!(fleet.holding_silent(number), 0);
+        assert_eq!(fleet.monitors(number).len(), FULL_MONITORING_LIMIT);
+        assert_eq!(fleet.considering_unresponsive(number), 0);
     }
 }
 
-/// Guards against messages at rest that grow with the fleet.
+/// Guards against a message rate of an instance that grows with the fleet while
+/// nothing fails.
 #[test]
-fn a_quiet_fleet_exchanges_a_constant_number_of_messages() {
+fn a_fleet_without_failures_exchanges_a_constant_number_of_messages() {
     for count in [62, 300] {
         let mut fleet = Fleet::new(count);
         fleet.messages = 0;
@@ -289,64 +294,72 @@
     }
 }
 
-/// Guards against callers that are sent to a machine which was killed, and
-/// against a verdict that outlives the process it is about.
+/// Guards against callers that are directed to a killed instance, and against a
+/// suspicion that still applies after its process was replaced.
 #[test]
-fn a_death_is_known_to_all_in_time_and_a_successor_answers() {
+fn all_detect_a_failure_in_time_and_accept_the_restarted_process() {
     for count in [10, 62, 300] {
         for lost in [0, 20] {
             let mut fleet = Fleet::new(count);
             fleet.lost = lost;
             fleet.kill(5);
-            fleet.rounds(KNOWN_ROUNDS);
-            assert_eq!(fleet.holding_silent(5), count - 1, "{count}, lost {lost}");
-            // The time of day was set back: the order of names says nothing.
+            fleet.rounds(DETECTION_ROUNDS);
+            assert_eq!(
+                fleet.considering_unresponsive(5),
+                count - 1,
+                "{count}, lost {lost}"
+            );
+            // The restarted process has a smaller incarnation, as after the
+            // clock was set back.
             fleet.restart(5, 0);
             fleet.rounds(1);
-            assert_eq!(fleet.holding_silent(5), 0, "{count}, lost {lost}");
-            fleet.rounds(3 * KNOWN_ROUNDS);
-            assert_eq!(fleet.holding_silent(5), 0, "{count}, lost {lost}");
+            assert_eq!(fleet.considering_unresponsive(5), 0, "{count}, lost {lost}");
+            fleet.rounds(3 * DETECTION_ROUNDS);
+            assert_eq!(fleet.considering_unresponsive(5), 0, "{count}, lost {lost}");
         }
     }
 }
 
-/// Guards against the size that the fleet grows to.
+/// Guards against detection that is too slow in a fleet of the largest size.
 #[test]
-fn a_death_is_known_to_all_of_eight_hundred_in_time() {
+fn eight_hundred_instances_detect_a_failure_in_time() {
     let mut fleet = Fleet::new(810);
     fleet.kill(5);
-    fleet.rounds(KNOWN_ROUNDS);
-    assert_eq!(fleet.holding_silent(5), 809);
+    fleet.rounds(DETECTION_ROUNDS);
+    assert_eq!(fleet.considering_unresponsive(5), 809);
 }
 
-/// Guards against a watcher that is cut off and takes sound instances out.
+/// Guards against a monitor that is cut off from the network and takes healthy
+/// instances out of service.
 #[test]
-fn a_watcher_that_is_cut_off_takes_nobody_out_and_returns() {
+fn a_monitor_that_is_cut_off_takes_no_instance_out_and_returns() {
     let mut fleet = Fleet::new(62);
-    fleet.machines[7].cut = true;
-    for _round in 0..4 * KNOWN_ROUNDS {
+    fleet.members[7].cut_off = true;
+    for _round in 0..4 * DETECTION_ROUNDS {
         fleet.rounds(1);
         let others = (0..62).filter(|number| *number != 7);
-        let held: usize = others.map(|number| fleet.holding_silent(number)).sum();
+        let held: usize = others
+            .map(|number| fleet.considering_unresponsive(number))
+            .sum();
         assert_eq!(held, 0);
     }
-    assert_eq!(fleet.holding_silent(7), 61);
-    fleet.machines[7].cut = false;
-    for _round in 0..KNOWN_ROUNDS {
+    assert_eq!(fleet.considering_unresponsive(7), 61);
+    fleet.members[7].cut_off = false;
+    for _round in 0..DETECTION_ROUNDS {
         fleet.rounds(1);
         let mut others = (0..62).filter(|number| *number != 7);
-        // What the returned one believes of others is its own affair.
-        assert!(others.all(|number| fleet.holding_silent(number) <= 1));
+        // The returned instance itself may still consider others unresponsive.
+        assert!(others.all(|number| fleet.considering_unresponsive(number) <= 1));
     }
-    fleet.rounds(KNOWN_ROUNDS);
+    fleet.rounds(DETECTION_ROUNDS);
     for number in 0..62 {
-        assert_eq!(fleet.holding_silent(number), 0, "{number}");
+        assert_eq!(fleet.considering_unresponsive(number), 0, "{number}");
     }
 }
 
-/// The verdict that `reporter` gives on `subject` in a fleet of first
-/// processes.
-fn verdict(reporter: usize, subject: usize, finding: MonitorFinding) -> FailureSuspicion {
+/// The suspicion of `reporter` about `subject` in a fleet whose processes are
+/// the first of their instances.
+fn suspicion(reporter: usize, subject: usize, finding: MonitorFinding) -> FailureSuspicion {
     FailureSuspicion {
         subject: name(subject),
         incarnation: IncarnationId::from_u128(1),
@@ -357,72 +370,74 @@
     }
 }
 
-/// Guards against a single watcher that takes a sound instance out: its path
-/// to that one alone is broken, and all hear what it says.
+/// Guards against a single monitor that takes a healthy instance out of service:
+/// only its path to that instance is broken, and all receive its suspicion.
 #[test]
-fn a_watcher_with_one_broken_path_convinces_nobody_else() {
+fn a_monitor_with_one_broken_path_convinces_no_other_instance() {
     for lost in [0, 20] {
         let mut fleet = Fleet::new(62);
         fleet.lost = lost;
-        fleet.broken = Some((fleet.watchers(9)[0], 9));
-        for _round in 0..6 * KNOWN_ROUNDS {
+        fleet.broken_path = Some((fleet.monitors(9)[0], 9));
+        for _round in 0..6 * DETECTION_ROUNDS {
             fleet.rounds(1);
-            assert!(fleet.holding_silent(9) <= 1, "lost {lost}");
+            assert!(fleet.considering_unresponsive(9) <= 1, "lost {lost}");
         }
-        assert_eq!(fleet.holding_silent(9), 1, "lost {lost}");
+        assert_eq!(fleet.considering_unresponsive(9), 1, "lost {lost}");
     }
 }
 
-/// Guards against a verdict that nobody can take back, since who gave it died.
+/// Guards against a wrong suspicion that can't be withdrawn, since its monitor
+/// failed.
 #[test]
-fn a_wrong_verdict_of_a_watcher_that_dies_holds_for_nobody() {
+fn a_wrong_suspicion_of_a_monitor_that_fails_convinces_no_instance() {
     let mut fleet = Fleet::new(62);
-    let watchers = fleet.watchers(9);
+    let monitors = fleet.monitors(9);
     let wrong = SuspicionMessage {
         joining: false,
-        verdicts: vec![verdict(watchers[0], 9, MonitorFinding::Unresponsive)],
+        suspicions: vec![suspicion(monitors[0], 9, MonitorFinding::Unresponsive)],
     };
-    let told = (0..62).find(|number| *number != 9 && !watchers.contains(number));
-    let told = told.expect("there are 62");
+    let receiver = (0..62).find(|number| *number != 9 && !monitors.contains(number));
+    let receiver = receiver.expect("there are 62");
     let now = fleet.now();
-    fleet.machines[told].detector.receive(wrong, now);
-    fleet.kill(watchers[0]);
-    for _round in 0..4 * KNOWN_ROUNDS {
+    fleet.members[receiver].detector.receive(wrong, now);
+    fleet.kill(monitors[0]);
+    for _round in 0..4 * DETECTION_ROUNDS {
         fleet.rounds(1);
-        assert_eq!(fleet.holding_silent(9), 0);
+        assert_eq!(fleet.considering_unresponsive(9), 0);
     }
-    assert_eq!(fleet.holding_silent(watchers[0]), 61);
+    assert_eq!(fleet.considering_unresponsive(monitors[0]), 61);
 }
 
-/// Guards against the dead who outvote the living: most watchers of a sound
-/// instance were cut off, said so of it and died.
+/// Guards against failed monitors that outvote the remaining ones: most monitors
+/// of a healthy instance reported it as unresponsive while they were cut off,
+/// and then failed.
 #[test]
-fn verdicts_of_watchers_that_died_are_set_aside() {
+fn suspicions_of_failed_monitors_do_not_count() {
     let mut fleet = Fleet::new(62);
-    let watchers = fleet.watchers(9);
-    assert!(watchers.len() > 2);
-    let wrong = watchers[1..].iter();
-    let wrong = wrong.map(|watcher| verdict(*watcher, 9, MonitorFinding::Unresponsive));
+    let monitors = fleet.monitors(9);
+    assert!(monitors.len() > 2);
+    let wrong = monitors[1..].iter();
+    let wrong = wrong.map(|monitor| suspicion(*monitor, 9, MonitorFinding::Unresponsive));
     let message = SuspicionMessage {
         joining: false,
-        verdicts: wrong.collect(),
+        suspicions: wrong.collect(),
     };
-    let told = (0..62).find(|number| *number != 9 && !watchers.contains(number));
-    let told = told.expect("there are 62");
+    let receiver = (0..62).find(|number| *number != 9 && !monitors.contains(number));
+    let receiver = receiver.expect("there are 62");
     let now = fleet.now();
-    fleet.machines[told].detector.receive(message, now);
-    assert!(fleet.machines[told].detector.is_unresponsive(&name(9)));
-    for watcher in &watchers[1..] {
-        fleet.kill(*watcher);
+    fleet.members[receiver].detector.receive(message, now);
+    assert!(fleet.members[receiver].detector.is_unresponsive(&name(9)));
+    for monitor in &monitors[1..] {
+        fleet.kill(*monitor);
     }
-    fleet.rounds(KNOWN_ROUNDS);
-    assert_eq!(fleet.holding_silent(9), 0);
+    fleet.rounds(DETECTION_ROUNDS);
+    assert_eq!(fleet.considering_unresponsive(9), 0);
 }
 
-/// Guards against a start of all at once at which each watches most others,
-/// since nobody serves yet.
+/// Guards against a simultaneous start of all instances at which each monitors
+/// most others, since none serves yet.
 #[test]
-fn a_fleet_that_starts_watches_no_more_than_one_at_rest() {
+fn a_starting_instance_monitors_no_more_others_than_a_running_one() {
     let rings = usize::try_from(RING_COUNT).expect("small");
     let mut detector = FailureDetector::new(name(0), IncarnationId::from_u128(1));
     let first = IncarnationId::from_u128(1);
@@ -431,8 +446,8 @@
     }
     detector.tick(Duration::ZERO);
     let early = Duration::from_millis(100);
-    for watched in detector.monitored().clone() {
-        detector.record_finding(&watched, first, false, early);
+    for monitored in detector.monitored().clone() {
+        detector.record_finding(&monitored, first, false, early);
     }
     assert!(detector.monitored().len() <= rings);
     assert!(!detector.has_updates());
@@ -441,11 +456,11 @@
     assert!(detector.has_updates());
 }
 
-/// Guards against an instance that nobody reports, since its watchers died
-/// with it.
+/// Guards against a failed instance that is not reported, since its monitors
+/// failed with it.
 #[test]
-fn the_deaths_of_most_at_once_are_known_to_all_others() {
-    for (dead, rounds) in [(31, KNOWN_ROUNDS), (50, 2 * KNOWN_ROUNDS)] {
+fn all_others_detect_the_failure_of_most_at_once() {
+    for (dead, rounds) in [(31, DETECTION_ROUNDS), (50, 2 * DETECTION_ROUNDS)] {
         let mut fleet = Fleet::new(62);
         for number in 0..dead {
             fleet.kill(number);
@@ -454,7 +469,7 @@
         for number in 0..62 {
             let expected = if number < dead { 62 - dead } else { 0 };
             assert_eq!(
-                fleet.holding_silent(number),
+                fleet.considering_unresponsive(number),
                 expected,
                 "{number}, {dead} dead"
             );
@@ -462,69 +477,72 @@
         for number in 0..dead {
             fleet.restart(number, 2);
         }
-        fleet.rounds(3 * KNOWN_ROUNDS);
+        fleet.rounds(3 * DETECTION_ROUNDS);
         for number in 0..62 {
-            assert_eq!(fleet.holding_silent(number), 0, "{number}, {dead} dead");
+            assert_eq!(
+                fleet.considering_unresponsive(number),
+                0,
+                "{number}, {dead} dead"
+            );
         }
     }
 }
 
-/// Guards against a process that starts and sends callers to the dead.
+/// Guards against a starting process that directs callers to failed instances.
 #[test]
-fn a_process_that_starts_asks_who_is_silent() {
+fn a_starting_process_requests_the_unresponsive_instances() {
     let mut fleet = Fleet::new(62);
     fleet.kill(3);
-    fleet.rounds(2 * KNOWN_ROUNDS);
+    fleet.rounds(2 * DETECTION_ROUNDS);
     fleet.restart(4, 2);
     fleet.rounds(EXCHANGE_ROUNDS + 1);
-    assert!(fleet.machines[4].detector.is_unresponsive(&name(3)));
+    assert!(fleet.members[4].detector.is_unresponsive(&name(3)));
 }
 
-/// Guards against an answer that the link between instances refuses for its
-/// size, so that a process which joins a large fleet never learns who is silent
-/// (found with issue 20).
+/// Guards against a response that the link between instances refuses for its
+/// size, so that a process that joins a large fleet never receives the
+/// unresponsive instances (found with issue 20).
 #[test]
-fn the_answer_to_a_process_that_joins_fits_a_message() {
+fn the_response_to_a_joining_process_fits_in_a_message() {
     const MEMBERS: usize = 400;
-    let long = |number: usize| {
+    let long_name = |number: usize| {
         InstanceName::from(format!("front-tx-central-availability-{number:04}").as_str())
     };
     let process = IncarnationId::from_u128(u128::MAX);
-    let mut detector = FailureDetector::new(long(0), process);
+    let mut detector = FailureDetector::new(long_name(0), process);
     for other in 1..MEMBERS {
-        detector.announce(&long(other), process, false, Duration::ZERO);
+        detector.announce(&long_name(other), process, false, Duration::ZERO);
     }
     for subject in 1..MEMBERS {
         for reporter in 1..=4 {
-            let verdict = FailureSuspicion {
-                subject: long(subject),
+            let suspicion = FailureSuspicion {
+                subject: long_name(subject),
                 incarnation: process,
-                reporter: long(1 + (subject + reporter * 7) % (MEMBERS - 1)),
+                reporter: long_name(1 + (subject + reporter * 7) % (MEMBERS - 1)),
                 process,
                 version: u64::MAX,
                 finding: MonitorFinding::Unresponsive,
             };
             let message = SuspicionMessage {
                 joining: false,
-                verdicts: vec![verdict],
+                suspicions: vec![suspicion],
             };
             detector.receive(message, Duration::ZERO);
         }
     }
-    let question = SuspicionMessage {
+    let request = SuspicionMessage {
         joining: true,
-        verdicts: Vec::new(),
+        suspicions: Vec::new(),
     };
-    let answer = detector.receive(question, Duration::ZERO);
-    assert!(answer.verdicts.len() > 100);
-    let bytes = codec::encode(&answer).expect("a message").len();
+    let response = detector.receive(request, Duration::ZERO);
+    assert!(response.suspicions.len() > 100);
+    let bytes = codec::encode(&response).expect("a message").len();
     assert!(bytes < MESSAGE_BYTES, "{bytes} bytes");
 }
 
-/// Guards against late copies of what a replaced process said, and of what
-/// was said of one.
+/// Guards against late copies of suspicions about or from a replaced process.
 #[test]
-fn a_verdict_holds_for_one_process_and_gives_way_to_a_newer_one() {
+fn a_suspicion_applies_to_one_process_and_yields_to_a_newer_one() {
     let mut detector = FailureDetector::new(name(0), IncarnationId::from_u128(1));
     for other in 1..62 {
         let incarnation = IncarnationId::from_u128(1);
@@ -532,14 +550,14 @@
     }
     detector.tick(Duration::ZERO);
     let mut others = (1..62).filter(|other| !detector.monitored().contains(&name(*other)));
-    let subject = others.next().expect("few are watched");
-    let reporters = [others.next(), others.next()].map(|other| other.expect("few are watched"));
+    let subject = others.next().expect("few are monitored");
+    let reporters = [others.next(), others.next()].map(|other| other.expect("few are monitored"));
     let message = |finding, version| SuspicionMessage {
         joining: false,
-        verdicts: reporters
+        suspicions: reporters
             .map(|reporter| FailureSuspicion {
                 version,
-                ..verdict(reporter, subject, finding)
+                ..suspicion(reporter, subject, finding)
             })
             .into(),
     };
@@ -560,9 +578,9 @@
     assert!(!detector.is_unresponsive(&name(subject)));
 }
 
-/// Guards against a majority of watchers that do not answer themselves.
+/// Guards against a majority of monitors that are unresponsive themselves.
 #[test]
-fn what_silent_watchers_say_does_not_count() {
+fn suspicions_of_unresponsive_monitors_do_not_count() {
     let mut detector = FailureDetector::new(name(0), IncarnationId::from_u128(1));
     for other in 1..62 {
         let incarnation = IncarnationId::from_u128(1);
@@ -571,58 +589,62 @@
     detector.tick(Duration::ZERO);
     let others = (1..62).filter(|other| !detector.monitored().contains(&name(*other)));
     let others: Vec<usize> = others.collect();
-    let (subject, affirming) = (others[0], others[1]);
-    let accusing = &others[2..5];
-    let mut verdicts = vec![verdict(affirming, subject, MonitorFinding::Responsive)];
-    for accuser in accusing {
-        verdicts.push(verdict(*accuser, subject, MonitorFinding::Unresponsive));
+    let (subject, contradicting) = (others[0], others[1]);
+    let reporters = &others[2..5];
+    let mut suspicions = vec![suspicion(
+        contradicting,
+        subject,
+        MonitorFinding::Responsive,
+    )];
+    for reporter in reporters {
+        suspicions.push(suspicion(*reporter, subject, MonitorFinding::Unresponsive));
     }
     let late = Duration::from_secs(60);
     detector.receive(
         SuspicionMessage {
             joining: false,
-            verdicts,
+            suspicions,
         },
         late,
     );
     assert!(detector.is_unresponsive(&name(subject)));
-    let mut verdicts = Vec::new();
-    for accuser in accusing {
-        for watcher in &others[5..7] {
-            verdicts.push(verdict(*watcher, *accuser, MonitorFinding::Unresponsive));
+    let mut suspicions = Vec::new();
+    for reporter in reporters {
+        for monitor in &others[5..7] {
+            suspicions.push(suspicion(*monitor, *reporter, MonitorFinding::Unresponsive));
         }
     }
     detector.receive(
         SuspicionMessage {
             joining: false,
-            verdicts,
+            suspicions,
         },
         late,
     );
     assert!(!detector.is_unresponsive(&name(subject)));
     assert!(
-        accusing
+        reporters
             .iter()
-            .all(|accuser| detector.is_unresponsive(&name(*accuser)))
+            .all(|reporter| detector.is_unresponsive(&name(*reporter)))
     );
 }
 
-/// Guards against messages whose size grows with the trouble.
+/// Guards against messages whose size grows with the number of failures.
 #[test]
-fn a_message_holds_a_bounded_number_of_verdicts() {
+fn a_message_holds_a_bounded_number_of_suspicions() {
     let mut fleet = Fleet::new(62);
     for number in 0..31 {
         fleet.kill(number);
     }
-    for _round in 0..KNOWN_ROUNDS {
+    for _round in 0..DETECTION_ROUNDS {
         fleet.round += 1;
-        fleet.ask();
-        for machine in &mut fleet.machines {
-            let mut detector = machine.detector.clone();
-            let news = detector.next_update().unwrap_or_default();
-            assert!(news.verdicts.len() <= SUSPICION_LIMIT);
-            assert!(detector.next_exchange().verdicts.len() <= SUSPICION_LIMIT);
+        fleet.probe();
+        for member in &mut fleet.members {
+            let mut detector = member.detector.clone();
+            let update = detector.next_update().unwrap_or_default();
+            assert!(update.suspicions.len() <= SUSPICION_LIMIT);
+            assert!(detector.next_exchange().suspicions.len() <= SUSPICION_LIMIT);
         }
-        fleet.pass_news();
+        fleet.send_updates();
     }
 }
--- a/crates/hibiscus-membership/tests/view.rs
+++ b/crates/hibiscus-membership/tests/view.rs
@@ -1,4 +1,4 @@
-//! Views of a fleet whose members join, leave, pause and part.
+//! Fleet views of members that join, leave, pause and are partitioned.
 
 use hibiscus_membership::address;
 use hibiscus_membership::view::FleetInstance;
@@ -7,13 +7,13 @@
 use hibiscus_support::gossip::GossipMember;
 use hibiscus_types::IncarnationId;
 
-/// Rounds after which every view must have settled.
-const SETTLE_ROUNDS: usize = 30;
+/// Rounds after which every view must have converged.
+const CONVERGENCE_ROUNDS: usize = 30;
 
-/// A fleet whose views have settled.
-fn settled(count: usize, data_centres: usize) -> GossipFleet {
+/// Returns a fleet whose views have converged.
+fn converged(count: usize, data_centres: usize) -> GossipFleet {
     let mut fleet = GossipFleet::new(count, data_centres);
-    rounds(&mut fleet, SETTLE_ROUNDS);
+    rounds(&mut fleet, CONVERGENCE_ROUNDS);
     assert_eq!(fleet.ready_range(), (count, count));
     fleet
 }
@@ -26,15 +26,15 @@
 }
 
 #[test]
-fn all_members_of_small_and_large_fleets_learn_of_all() {
+fn all_members_of_small_and_large_fleets_discover_all_others() {
     for (count, data_centres) in [(1, 1), (2, 2), (7, 3), (10, 4), (60, 4), (200, 11)] {
-        settled(count, data_centres);
+        converged(count, data_centres);
     }
 }
 
 #[test]
-fn a_member_that_joins_is_known_and_knows_all() {
-    let mut fleet = settled(40, 4);
+fn a_joining_member_discovers_all_and_is_discovered_by_all() {
+    let mut fleet = converged(40, 4);
     let mut listed: Vec<FleetInstance> = fleet.members[0].view.instances().to_vec();
     let newcomer = gossip::instance(40, 4);
     listed.push(newcomer.clone());
@@ -42,53 +42,53 @@
         member.view.set_instances(listed.clone());
     }
     fleet.members.push(GossipMember::new(&newcomer, &listed));
-    rounds(&mut fleet, SETTLE_ROUNDS);
+    rounds(&mut fleet, CONVERGENCE_ROUNDS);
     assert_eq!(fleet.ready_range(), (41, 41));
 }
 
 #[test]
-fn a_member_that_leaves_the_list_is_forgotten() {
-    let mut fleet = settled(7, 3);
+fn a_member_that_leaves_the_list_is_removed() {
+    let mut fleet = converged(7, 3);
     let listed: Vec<FleetInstance> = fleet.members[0].view.instances()[..6].to_vec();
-    let gone = fleet.members.pop().expect("there are seven");
+    let removed = fleet.members.pop().expect("there are seven");
     for member in &mut fleet.members {
         member.view.set_instances(listed.clone());
     }
     rounds(&mut fleet, 2);
     assert_eq!(fleet.ready_range(), (6, 6));
     for member in &fleet.members {
-        assert!(member.view.instance_of(gone.beat.incarnation).is_none());
+        assert!(member.view.instance_of(removed.beat.incarnation).is_none());
     }
 }
 
 #[test]
-fn a_paused_member_is_silent_until_it_speaks_again() {
+fn a_paused_member_is_unresponsive_until_it_sends_again() {
     for (count, data_centres) in [(7, 3), (60, 4)] {
-        let mut fleet = settled(count, data_centres);
+        let mut fleet = converged(count, data_centres);
         fleet.members[3].running = false;
-        rounds(&mut fleet, SETTLE_ROUNDS);
+        rounds(&mut fleet, CONVERGENCE_ROUNDS);
         assert_eq!(fleet.ready_range(), (count - 1, count - 1));
         fleet.members[3].running = true;
-        rounds(&mut fleet, SETTLE_ROUNDS);
+        rounds(&mut fleet, CONVERGENCE_ROUNDS);
         assert_eq!(fleet.ready_range(), (count, count));
     }
 }
 
 #[test]
-fn a_stopping_member_leaves_all_answers() {
+fn a_member_that_shuts_down_is_not_ready_in_any_view() {
     for (count, data_centres) in [(7, 3), (60, 4)] {
-        let mut fleet = settled(count, data_centres);
+        let mut fleet = converged(count, data_centres);
         fleet.members[1].beat.stopping = true;
-        rounds(&mut fleet, SETTLE_ROUNDS);
+        rounds(&mut fleet, CONVERGENCE_ROUNDS);
         assert_eq!(fleet.ready_range(), (count - 1, count - 1));
     }
 }
 
 #[test]
-fn callers_are_not_sent_to_a_member_without_a_configuration() {
-    let mut fleet = settled(7, 3);
+fn callers_are_not_directed_to_a_member_without_a_configuration() {
+    let mut fleet = converged(7, 3);
     fleet.members[4].beat.configured = false;
-    rounds(&mut fleet, SETTLE_ROUNDS);
+    rounds(&mut fleet, CONVERGENCE_ROUNDS);
     assert_eq!(fleet.ready_range(), (7, 7));
     for member in &fleet.members {
         let serving = member.view.serving(fleet.now);
@@ -104,12 +104,12 @@
 #[test]
 fn a_new_incarnation_at_the_same_address_replaces_the_old_one() {
     for (count, data_centres) in [(7, 3), (60, 4)] {
-        let mut fleet = settled(count, data_centres);
+        let mut fleet = converged(count, data_centres);
         let old = fleet.members[2].beat.clone();
         let listed = fleet.members[0].view.instances().to_vec();
         fleet.members[2] = GossipMember::new(&listed[2], &listed);
         let new = fleet.members[2].beat.incarnation;
-        rounds(&mut fleet, SETTLE_ROUNDS);
+        rounds(&mut fleet, CONVERGENCE_ROUNDS);
         for member in &mut fleet.members {
             let held = member.view.instance_of(new).expect("it is known");
             assert_eq!(held.name, old.name);
@@ -122,16 +122,16 @@
 }
 
 #[test]
-fn a_new_incarnation_whose_clock_is_behind_replaces_a_silent_one() {
+fn a_new_incarnation_whose_clock_is_behind_replaces_an_unresponsive_one() {
     for (count, data_centres) in [(7, 3), (60, 4)] {
-        let mut fleet = settled(count, data_centres);
+        let mut fleet = converged(count, data_centres);
         let old = fleet.members[2].beat.incarnation;
         let listed = fleet.members[0].view.instances().to_vec();
         fleet.members[2] = GossipMember::new(&listed[2], &listed);
         let new = IncarnationId::from_u128(7);
         assert!(new < old);
         fleet.members[2].beat.incarnation = new;
-        rounds(&mut fleet, 2 * SETTLE_ROUNDS);
+        rounds(&mut fleet, 2 * CONVERGENCE_ROUNDS);
         assert_eq!(fleet.ready_range(), (count, count));
         for member in &fleet.members {
             assert!(member.view.instance_of(new).is_some());
@@ -141,19 +141,19 @@
 }
 
 #[test]
-fn a_flapping_member_ends_up_as_it_last_was() {
-    let mut fleet = settled(60, 4);
+fn a_flapping_member_ends_in_its_last_state() {
+    let mut fleet = converged(60, 4);
     for turn in 0..6 {
         fleet.members[5].running = turn % 2 == 1;
         rounds(&mut fleet, 5);
     }
-    rounds(&mut fleet, SETTLE_ROUNDS);
+    rounds(&mut fleet, CONVERGENCE_ROUNDS);
     assert_eq!(fleet.ready_range(), (60, 60));
 }
 
 #[test]
-fn one_broken_path_does_not_make_a_member_silent_for_others() {
-    let mut fleet = settled(60, 4);
+fn one_broken_path_does_not_make_a_member_unresponsive_for_others() {
+    let mut fleet = converged(60, 4);
     let neighbour = fleet.members[0]
         .view
         .neighbours()
@@ -161,11 +161,12 @@
         .expect("it has neighbours")
         .name
         .clone();
-    let cut = (0..60)
+    let neighbour_number = (0..60)
         .find(|number| fleet.members[*number].beat.name == neighbour)
         .expect("it is a member");
-    let broken = |from, to| (from, to) != (0, cut) && (from, to) != (cut, 0);
-    for _round in 0..SETTLE_ROUNDS {
+    let broken =
+        |from, to| (from, to) != (0, neighbour_number) && (from, to) != (neighbour_number, 0);
+    for _round in 0..CONVERGENCE_ROUNDS {
         fleet.round(broken);
     }
     let seen_by = |number: usize| fleet.members[number].view.ready(fleet.now).len();
@@ -174,29 +175,29 @@
 }
 
 #[test]
-fn two_sides_of_a_partition_see_their_own_side_and_join_again() {
-    let mut fleet = settled(7, 2);
-    for _round in 0..SETTLE_ROUNDS {
+fn two_sides_of_a_partition_see_their_own_side_and_merge_again() {
+    let mut fleet = converged(7, 2);
+    for _round in 0..CONVERGENCE_ROUNDS {
         fleet.round(|from, to| from % 2 == to % 2);
     }
     assert_eq!(fleet.ready_range(), (3, 4));
-    rounds(&mut fleet, SETTLE_ROUNDS);
+    rounds(&mut fleet, CONVERGENCE_ROUNDS);
     assert_eq!(fleet.ready_range(), (7, 7));
 }
 
 #[test]
-fn views_of_different_lists_still_exchange_news() {
-    let mut fleet = settled(60, 4);
+fn members_with_different_lists_still_exchange_updates() {
+    let mut fleet = converged(60, 4);
     let all = fleet.members[0].view.instances().to_vec();
     for (number, member) in fleet.members.iter_mut().enumerate() {
-        // The list lags: every member misses another instance.
+        // The list lags: each member lacks a different instance.
         let missing = (number + 7) % 60;
         let mut seen = all.clone();
         seen.remove(missing);
         member.view.set_instances(seen);
     }
     fleet.members[9].beat.stopping = true;
-    rounds(&mut fleet, SETTLE_ROUNDS);
+    rounds(&mut fleet, CONVERGENCE_ROUNDS);
     for (number, member) in fleet.members.iter().enumerate() {
         let known = member.view.heartbeat_of(&all[9].name);
         if (number + 7) % 60 == 9 {
@@ -208,8 +209,8 @@
 }
 
 #[test]
-fn contacts_and_news_in_a_message_are_bounded() {
-    let mut fleet = settled(200, 11);
+fn neighbours_and_message_sizes_are_bounded() {
+    let mut fleet = converged(200, 11);
     for member in &fleet.members {
         assert!(member.view.neighbours().count() <= 8);
     }
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn address_answers_are_stable_and_pass_over_a_loaded_instance() {
+fn address_rankings_are_stable_and_place_a_loaded_instance_last() {
     let ready: Vec<FleetInstance> = (0..9).map(|number| gossip::instance(number, 3)).collect();
     let here = ready[0].data_centre.clone();
     let idle = address::rank_addresses_by_load("caller", &here, &ready, |_instance| 0);
--- a/crates/hibiscus-router/src/membership/mod.rs
+++ b/crates/hibiscus-router/src/membership/mod.rs
@@ -169,7 +169,7 @@
 fn note_silence(context: &SharedContext, silent: &mut SilentNames) {
     let now = UnixMillis::now();
     let mut fleet = context.fleet.lock();
-    let fallen = fleet.report_silent_neighbours(now);
+    let fallen = fleet.report_unresponsive_neighbours(now);
     let ready = fleet.ready(now);
     drop(fleet);
     for instance in ready {
--- a/crates/hibiscus-support/src/gossip.rs
+++ b/crates/hibiscus-support/src/gossip.rs
@@ -116,7 +116,7 @@
             let member = &mut self.members[from];
             let beat = member.next_beat(now);
             member.view.receive_heartbeat(beat, now);
-            member.view.report_silent_neighbours(now);
+            member.view.report_unresponsive_neighbours(now);
             for to in self.targets(from) {
                 if self.members[to].running && passes(from, to) {
                     self.exchange(from, to);
--- a/tests/testsuite/fuzz.rs
+++ b/tests/testsuite/fuzz.rs
@@ -79,12 +79,12 @@
         sequence: number,
         records: vec![LedgerRecord::Open(open(number)); 3],
     };
-    let beat = InstanceHeartbeat {
+    let heartbeat = InstanceHeartbeat {
         name: "router-1".into(),
         ..heartbeat_sample()
     };
     let message = GossipMessage {
-        beat,
+        heartbeat,
         joining: true,
         items: Vec::new(),
     };
