--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -15,7 +15,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::pace::MachineTime;
+use hibiscus_ledger::account::limit::MachineTime;
 use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_peer::PinnedCall;
 use hibiscus_peer::PinnedLink;
@@ -114,7 +114,7 @@
     mut calls: mpsc::Receiver<PinnedCall>,
 ) {
     while let Some(call) = calls.recv().await {
-        state.tally.link_asked.add();
+        state.tally.link_requests.add();
         let question = match codec::decode::<PeerRequest>(&call.body) {
             Ok(question) => question,
             Err(error) => {
@@ -152,7 +152,7 @@
     if let (PeerRequest::Reserve { budget, .. }, PeerResponse::Reserved(tokens)) =
         (&question, &answer)
     {
-        state.budgets.take_back(budget, *tokens);
+        state.budgets.refund(budget, *tokens);
     }
 }
 
@@ -164,7 +164,7 @@
     match question {
         PeerRequest::Tokens { .. } => PeerResponse::Tokens(TokenCount::ZERO),
         PeerRequest::Process => {
-            let (incarnation, started_at, age) = state.budgets.process();
+            let (incarnation, started_at, age) = state.budgets.process_start();
             PeerResponse::Process(PeerProcess {
                 incarnation,
                 started_at,
@@ -173,7 +173,7 @@
         }
         PeerRequest::TimeOfDay => PeerResponse::TimeOfDay(UnixMillis::now().get()),
         PeerRequest::Reserve { budget, tokens } => {
-            match supply::pass_on(state, budget, *tokens).await {
+            match supply::transfer(state, budget, *tokens).await {
                 Ok(()) => PeerResponse::Reserved(*tokens),
                 Err(refusal) => PeerResponse::Refused(refusal),
             }
@@ -182,7 +182,7 @@
             PeerResponse::Refused(TokenRefusal::Unconfirmed)
         }
         PeerRequest::Return { budget, tokens } => {
-            state.budgets.take_back(budget, *tokens);
+            state.budgets.refund(budget, *tokens);
             PeerResponse::Returned
         }
         PeerRequest::Suspicions(message) => {
