--- a/crates/hibiscus-traffic/src/crash_detector.rs
+++ b/crates/hibiscus-traffic/src/crash_detector.rs
@@ -26,7 +26,7 @@
 use crate::callers::BodyBytes;
 use crate::connect;
 use crate::connect::PortState;
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 use crate::wire_format::WireFormat;
@@ -211,9 +211,9 @@
 /// Takes note of requests that servers broke off.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    cases: RefCell<HashMap<ServerStart, EndingCase>>,
+    cases: RefCell<HashMap<ServerIncarnation, EndingCase>>,
     /// Servers that were found open, and when.
-    open: RefCell<HashMap<ServerStart, Instant>>,
+    open: RefCell<HashMap<ServerIncarnation, Instant>>,
     /// When a server ended last, as far as is known.
     last_end: Cell<Option<Instant>>,
     noted: Notify,
@@ -226,7 +226,7 @@
         if server.is_closed() && request.is_none() {
             return;
         }
-        let process = server.entry.start();
+        let process = server.entry.incarnation();
         let found = self.open.borrow().get(&process).copied();
         if found.is_some_and(|found| found.elapsed() < OPEN_TIME) {
             return;
@@ -268,7 +268,7 @@
 
     /// The look at `server` is over: the requests that broke there.
     fn close(&self, server: &ServerHandle, port: PortState) -> Vec<CrashCandidate> {
-        let process = server.entry.start();
+        let process = server.entry.incarnation();
         if port == PortState::Open {
             let mut open = self.open.borrow_mut();
             open.retain(|_process, found| found.elapsed() < OPEN_TIME);
--- a/crates/hibiscus-traffic/src/handler.rs
+++ b/crates/hibiscus-traffic/src/handler.rs
@@ -114,7 +114,7 @@
     known: &mut KnownRequest,
 ) -> Result<(AdmittedRequest, ForwardedAnswer)> {
     let (head, body) = request.into_parts();
-    let signs = state.dialect.parse_caller_headers(&head.headers);
+    let signs = state.wire_format.parse_caller_headers(&head.headers);
     let signs = signs.map_err(|_fault| LocalReason::BadRequest)?;
     known.id.clone_from(&signs.id);
     if state.is_closing() {
@@ -150,5 +150,5 @@
     state
         .measures
         .record_request_end(known.kind, RequestOutcome::Own, taken);
-    response::local_response(&state.dialect, refusal, &known.id)
+    response::local_response(&state.wire_format, refusal, &known.id)
 }
