--- a/crates/hibiscus-ledger/src/account.rs
+++ b/crates/hibiscus-ledger/src/account.rs
@@ -48,7 +48,7 @@
 /// Closed holders that are remembered: a late append comes within seconds,
 /// and incarnations are ordered by time, so the oldest are forgotten first
 /// within a budget.
-const ENDED_KEPT: usize = 100_000;
+const CLOSED_HOLDERS_LIMIT: usize = 100_000;
 
 /// One proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -170,25 +170,25 @@
         let Some(report) = &self.report else {
             return Some(TokenCount::ZERO);
         };
-        let limit = report.limit.proved_at(now)?;
+        let limit = report.limit.max_spent_at(now)?;
         Some(limit.min(self.counted()))
     }
 
     /// The most that the holder spent, if it had ended before the time of day
-    /// `ended` that several machines agree on, in milliseconds since the Unix
+    /// `closed_holders` that several machines agree on, in milliseconds since the Unix
     /// epoch. Without such a time all that counts.
-    pub fn spent_by_agreement(&self, ended: Option<u64>) -> TokenCount {
+    pub fn spent_by_agreement(&self, ended_before: Option<u64>) -> TokenCount {
         let counted = self.counted();
         let Some(report) = &self.report else {
             return TokenCount::ZERO;
         };
-        let (Some(ended), Some(created_at)) = (ended, report.created_after) else {
+        let (Some(ended_before), Some(created_after)) = (ended_before, report.created_after) else {
             return counted;
         };
-        let Some(spent_for) = (ended + MAX_CLOCK_SKEW_MS).checked_sub(created_at) else {
+        let Some(spent_for) = (ended_before + MAX_CLOCK_SKEW_MS).checked_sub(created_after) else {
             return counted;
         };
-        report.limit.limit_after(spent_for).min(counted)
+        report.limit.allowed_after(spent_for).min(counted)
     }
 
     /// Tokens that the holder has not reported as spent.
@@ -220,7 +220,7 @@
     pub closed: TokenCount,
     /// Offset of the first record that is not contained in a snapshot that
     /// this account began with.
-    from: u64,
+    first_offset: u64,
 }
 
 impl BudgetAccount {
@@ -230,14 +230,14 @@
     }
 
     /// Tokens that the holders have not reported as spent.
-    pub fn held(&self) -> TokenCount {
+    pub fn unreported(&self) -> TokenCount {
         self.holders.values().map(HolderAccount::unreported).sum()
     }
 
     /// Tokens a second that the requests of all holders but `holder` ask for.
     pub fn demand_of_others(&self, holder: IncarnationId) -> u64 {
         let others = self.holders.iter().filter(|(id, _held)| **id != holder);
-        let reports = others.filter_map(|(_id, held)| held.report.as_ref());
+        let reports = others.filter_map(|(_id, holder_account)| holder_account.report.as_ref());
         reports.map(|report| report.demand).sum()
     }
 }
@@ -250,7 +250,7 @@
     /// Times of day that the last reports showed.
     readings: RecentReadings,
     /// Holders that were closed; late records of theirs change nothing.
-    ended: BTreeSet<(BudgetName, IncarnationId)>,
+    closed_holders: BTreeSet<(BudgetName, IncarnationId)>,
 }
 
 impl AccountFold {
@@ -271,8 +271,8 @@
 
     /// A time of day that has passed by the records of several machines, in
     /// milliseconds since the Unix epoch.
-    pub fn passed(&self) -> Option<u64> {
-        self.readings.passed()
+    pub fn time_lower_bound(&self) -> Option<u64> {
+        self.readings.agreed_lower_bound()
     }
 
     /// Counts a record that cannot be decoded, so that offsets stay aligned.
@@ -287,10 +287,10 @@
             return Vec::new();
         }
         self.skip(offset);
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         for record in records {
             let account = self.budgets.get(record.budget());
-            if account.is_some_and(|account| offset < account.from) {
+            if account.is_some_and(|account| offset < account.first_offset) {
                 continue;
             }
             match record {
@@ -307,7 +307,7 @@
                     tokens,
                 } => {
                     let draw = (*serial, *tokens);
-                    verdicts.extend(self.draw(budget, *holder, machine, draw));
+                    results.extend(self.draw(budget, *holder, machine, draw));
                 }
                 AccountRecord::Report(report) => self.report(report),
                 AccountRecord::Close {
@@ -317,7 +317,7 @@
                 } => self.close(budget, *holder, *spent),
             }
         }
-        verdicts
+        results
     }
 
     fn set_prepaid(&mut self, budget: &BudgetName, version: u64, tokens: TokenCount) {
@@ -338,19 +338,19 @@
         machine: &InstanceName,
         (serial, tokens): (u64, TokenCount),
     ) -> Option<DrawResult> {
-        if self.ended.contains(&(budget.clone(), holder)) {
+        if self.closed_holders.contains(&(budget.clone(), holder)) {
             return None;
         }
         let account = self.budgets.entry(budget.clone()).or_default();
         let free = account.free();
-        let held = account.holders.entry(holder).or_default();
-        if serial <= held.serial {
+        let holder_account = account.holders.entry(holder).or_default();
+        if serial <= holder_account.serial {
             return None;
         }
         let granted = tokens.min(free);
-        held.machine = machine.clone();
-        held.serial = serial;
-        held.drawn = held.drawn + granted;
+        holder_account.machine = machine.clone();
+        holder_account.serial = serial;
+        holder_account.drawn = holder_account.drawn + granted;
         account.counted = account.counted + granted;
         Some(DrawResult {
             budget: budget.clone(),
@@ -366,19 +366,22 @@
         let Some(account) = self.budgets.get_mut(&report.budget) else {
             return;
         };
-        let Some(held) = account.holders.get_mut(&report.holder) else {
+        let Some(holder_account) = account.holders.get_mut(&report.holder) else {
             return;
         };
-        let known = held.report.as_ref().map_or(0, |known| known.serial);
-        if report.serial <= known || report.spent + report.returned > held.drawn {
+        let known = holder_account
+            .report
+            .as_ref()
+            .map_or(0, |known| known.serial);
+        if report.serial <= known || report.spent + report.returned > holder_account.drawn {
             return;
         }
-        let freed = report.returned.saturating_sub(held.returned);
-        held.spent = report.spent;
-        held.returned = held.returned.max(report.returned);
-        held.report = Some(report.clone());
+        let freed = report.returned.saturating_sub(holder_account.returned);
+        holder_account.spent = report.spent;
+        holder_account.returned = holder_account.returned.max(report.returned);
+        holder_account.report = Some(report.clone());
         self.readings
-            .push(&held.machine, report.limit.created_at.unix_millis);
+            .push(&holder_account.machine, report.limit.created_at.unix_millis);
         account.counted = account.counted.saturating_sub(freed);
     }
 
@@ -387,16 +390,16 @@
         let Some(account) = self.budgets.get_mut(budget) else {
             return;
         };
-        let Some(held) = account.holders.remove(&holder) else {
+        let Some(holder_account) = account.holders.remove(&holder) else {
             return;
         };
-        let counted = held.counted();
-        let spent = spent.max(held.spent).min(counted);
+        let counted = holder_account.counted();
+        let spent = spent.max(holder_account.spent).min(counted);
         account.closed = account.closed + spent;
         account.counted = account.counted.saturating_sub(counted) + spent;
-        self.ended.insert((budget.clone(), holder));
-        while self.ended.len() > ENDED_KEPT {
-            self.ended.pop_first();
+        self.closed_holders.insert((budget.clone(), holder));
+        while self.closed_holders.len() > CLOSED_HOLDERS_LIMIT {
+            self.closed_holders.pop_first();
         }
     }
 }
--- a/crates/hibiscus-ledger/src/account/agreement.rs
+++ b/crates/hibiscus-ledger/src/account/agreement.rs
@@ -9,7 +9,7 @@
 //!
 //! - *before* the ended process made its last line: what the newest records of
 //!   the stream showed it ([`RecentReadings`]), carried on by its steady clock
-//!   ([`ElapsedTime`]); its report tells it;
+//!   ([`TimeLowerBound`]); its report tells it;
 //! - *after* the process had ended: what the machines answered to its
 //!   successor ([`agreed_upper_bound`]).
 //!
@@ -29,10 +29,10 @@
 pub const MIN_READINGS: usize = 3;
 /// One in this many readings at the end of the order that would prove more
 /// than is true is left out.
-const DOUBTED_SHARE: usize = 3;
+const OUTLIER_DIVISOR: usize = 3;
 /// Records of the stream whose readings count: 7 instances append as many in
 /// about 3 s, and of a large fleet's these are the newest 64 instances.
-const READINGS_KEPT: usize = 64;
+const RECENT_READINGS_LIMIT: usize = 64;
 /// Difference between correct clocks, in milliseconds: machines that follow a
 /// time server stay within a tenth of it.
 pub const MAX_CLOCK_SKEW_MS: u64 = 500;
@@ -62,14 +62,14 @@
             return;
         }
         self.readings.push_back(reading);
-        while self.readings.len() > READINGS_KEPT {
+        while self.readings.len() > RECENT_READINGS_LIMIT {
             self.readings.pop_front();
         }
     }
 
     /// A time of day that has passed, in milliseconds since the Unix epoch;
     /// `None` when too few machines were heard.
-    pub fn passed(&self) -> Option<u64> {
+    pub fn agreed_lower_bound(&self) -> Option<u64> {
         let newest: BTreeMap<&InstanceName, u64> = self
             .readings
             .iter()
@@ -77,31 +77,31 @@
             .collect();
         let mut millis: Vec<u64> = newest.into_values().collect();
         millis.sort_unstable();
-        agreed(&millis)
+        agreed_bound(&millis)
     }
 }
 
 /// A time of day that has passed, as a holder follows it: each record that it
 /// reads may show a later one, and its steady clock goes on from there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ElapsedTime {
+pub struct TimeLowerBound {
     /// The time of day, and the steady clock when it was known to have passed.
     anchor: Option<(u64, MachineTime)>,
 }
 
-impl ElapsedTime {
-    /// Takes over that the time of day `passed` has passed at `now`.
-    pub fn observe(&mut self, passed: u64, now: MachineTime) {
-        if self.at(now).is_none_or(|known| passed > known) {
-            self.anchor = Some((passed, now));
+impl TimeLowerBound {
+    /// Takes over that the time of day `lower_bound` has passed at `now`.
+    pub fn observe(&mut self, lower_bound: u64, now: MachineTime) {
+        if self.at(now).is_none_or(|known| lower_bound > known) {
+            self.anchor = Some((lower_bound, now));
         }
     }
 
     /// The latest time of day that is known to have passed at `now`, in
     /// milliseconds since the Unix epoch.
     pub fn at(&self, now: MachineTime) -> Option<u64> {
-        let (passed, anchored) = self.anchor?;
-        Some(passed + now.since_own(anchored))
+        let (lower_bound, anchored) = self.anchor?;
+        Some(lower_bound + now.since_same_process(anchored))
     }
 }
 
@@ -110,13 +110,13 @@
 pub fn agreed_upper_bound(readings: &[u64]) -> Option<u64> {
     let mut millis = readings.to_vec();
     millis.sort_unstable_by(|a, b| b.cmp(a));
-    agreed(&millis)
+    agreed_bound(&millis)
 }
 
 /// The first of `ordered` after those that are doubted.
-fn agreed(ordered: &[u64]) -> Option<u64> {
+fn agreed_bound(ordered: &[u64]) -> Option<u64> {
     if ordered.len() < MIN_READINGS {
         return None;
     }
-    ordered.get((ordered.len() - 1) / DOUBTED_SHARE).copied()
+    ordered.get((ordered.len() - 1) / OUTLIER_DIVISOR).copied()
 }
--- a/crates/hibiscus-ledger/src/account/demand.rs
+++ b/crates/hibiscus-ledger/src/account/demand.rs
@@ -5,19 +5,19 @@
 use hibiscus_types::TokenCount;
 
 /// Seconds over which the demand is averaged.
-const WINDOW_SECONDS: u64 = 12;
+const LONG_WINDOW_SECONDS: u64 = 12;
 /// Seconds of the shorter average, which follows a rise sooner.
-const SHORT_SECONDS: u64 = 4;
+const SHORT_WINDOW_SECONDS: u64 = 4;
 /// Least span of the longer average, so that the first requests do not count
 /// for more than they are.
-const LEAST_SECONDS: u64 = 8;
+const MIN_LONG_SECONDS: u64 = 8;
 /// Weight of the shorter average: a few large requests make it swing.
 const SHORT_WEIGHT: f64 = 0.6;
 
 /// Reservations by second, and how much of them is used.
 #[derive(Clone, Debug, Default)]
 pub struct DemandCounter {
-    seconds: [u64; WINDOW_SECONDS as usize],
+    seconds: [u64; LONG_WINDOW_SECONDS as usize],
     newest: u64,
     first: Option<u64>,
     reserved: f64,
@@ -51,14 +51,14 @@
         let Some(first) = self.first else {
             return 0.0;
         };
-        let age = (self.newest - first + 1).min(WINDOW_SECONDS);
-        let long = self.sum(age) as f64 / age.max(LEAST_SECONDS) as f64;
-        let short = self.sum(age.min(SHORT_SECONDS)) as f64 / SHORT_SECONDS as f64;
-        long.max(short * SHORT_WEIGHT) * self.used_part()
+        let age = (self.newest - first + 1).min(LONG_WINDOW_SECONDS);
+        let long = self.sum(age) as f64 / age.max(MIN_LONG_SECONDS) as f64;
+        let short = self.sum(age.min(SHORT_WINDOW_SECONDS)) as f64 / SHORT_WINDOW_SECONDS as f64;
+        long.max(short * SHORT_WEIGHT) * self.used_ratio()
     }
 
     /// Part of the reserved tokens that is used in the end.
-    fn used_part(&self) -> f64 {
+    fn used_ratio(&self) -> f64 {
         if self.reserved <= 0.0 {
             return 1.0;
         }
@@ -76,8 +76,8 @@
         while self.newest < second {
             self.newest += 1;
             self.seconds[slot(self.newest)] = 0;
-            if second - self.newest > WINDOW_SECONDS {
-                self.newest = second - WINDOW_SECONDS;
+            if second - self.newest > LONG_WINDOW_SECONDS {
+                self.newest = second - LONG_WINDOW_SECONDS;
             }
         }
     }
@@ -85,5 +85,5 @@
 
 /// The place of a second in the ring.
 fn slot(second: u64) -> usize {
-    usize::try_from(second % WINDOW_SECONDS).unwrap_or(0)
+    usize::try_from(second % LONG_WINDOW_SECONDS).unwrap_or(0)
 }
--- a/crates/hibiscus-ledger/src/account/limit.rs
+++ b/crates/hibiscus-ledger/src/account/limit.rs
@@ -23,14 +23,14 @@
 
 impl MachineTime {
     /// Milliseconds since `earlier`, which the same process read.
-    pub fn since_own(self, earlier: Self) -> u64 {
+    pub fn since_same_process(self, earlier: Self) -> u64 {
         self.millis.saturating_sub(earlier.millis)
     }
 
     /// Milliseconds since `earlier`, which an earlier process of the machine
     /// read; `None` when the steady clocks cannot be compared. Both clocks must
     /// show the same span, and the longer one counts.
-    pub fn since_other(self, earlier: Self) -> Option<u64> {
+    pub fn since_other_process(self, earlier: Self) -> Option<u64> {
         if self.boot == 0 || self.boot != earlier.boot {
             return None;
         }
@@ -63,13 +63,13 @@
 impl SpendingLimit {
     /// The most that the process that made the line may spend and reserve at
     /// `now`.
-    pub fn limit_at(&self, now: MachineTime) -> TokenCount {
-        self.limit_after(now.since_own(self.created_at))
+    pub fn allowed_at(&self, now: MachineTime) -> TokenCount {
+        self.allowed_after(now.since_same_process(self.created_at))
     }
 
     /// Milliseconds after the line was made from which on it allows `tokens`;
     /// `None` if it never does.
-    pub fn allows_after(&self, tokens: TokenCount) -> Option<u64> {
+    pub fn millis_until_allowed(&self, tokens: TokenCount) -> Option<u64> {
         let missing = tokens.saturating_sub(self.base + self.burst);
         if missing.is_zero() {
             return Some(0);
@@ -85,13 +85,13 @@
 
     /// The most that an ended process of this machine had spent and reserved;
     /// `None` when the clocks prove nothing.
-    pub fn proved_at(&self, now: MachineTime) -> Option<TokenCount> {
-        Some(self.limit_after(now.since_other(self.created_at)?))
+    pub fn max_spent_at(&self, now: MachineTime) -> Option<TokenCount> {
+        Some(self.allowed_after(now.since_other_process(self.created_at)?))
     }
 
     /// The most that may be spent and reserved `millis` after the line was
     /// made.
-    pub fn limit_after(&self, millis: u64) -> TokenCount {
+    pub fn allowed_after(&self, millis: u64) -> TokenCount {
         let growing = millis.saturating_sub(self.grows_after);
         let paced = u128::from(self.per_second) * u128::from(growing) / 1_000;
         let paced = u64::try_from(paced).unwrap_or(u64::MAX);
--- a/crates/hibiscus-ledger/src/account/policy.rs
+++ b/crates/hibiscus-ledger/src/account/policy.rs
@@ -16,43 +16,43 @@
 /// Time that a holder provides for at its present demand: instances are cut
 /// off from the store for up to 10 s at a time, and demand nearly doubles
 /// meanwhile. What a line does not allow is not lost with the holder.
-const HORIZON: Duration = Duration::from_secs(20);
+const DEMAND_HORIZON: Duration = Duration::from_secs(20);
 /// Time that a holder provides for once its planned stop has begun, or others
 /// hold in its place.
-const LEAVING_HORIZON: Duration = Duration::from_secs(2);
+const RELEASE_HORIZON: Duration = Duration::from_secs(2);
 /// Part of what is free that all holders of a budget may spend without a word
 /// to the store, however little is asked for: what a power cut of all machines
 /// may take along, and what a quiet team's first requests have when the store
 /// is away.
-const READY_PART: f64 = 0.006;
+const BASELINE_RATIO: f64 = 0.006;
 /// What is in hand then, as a multiple: a large request needs all of it, and
 /// what a line does not allow is not lost.
-const READY_HELD: f64 = 17.0;
+const BASELINE_HELD_FACTOR: f64 = 17.0;
 /// Time in which a line without a known demand allows that part once more.
-const READY_PACE: Duration = Duration::from_secs(10);
+const BASELINE_REFILL_TIME: Duration = Duration::from_secs(10);
 /// Part of what is left of a budget that all holders together keep while it
 /// is ample; the rest is there for swings of the demand and after a crash.
-const HELD_PART: f64 = 0.5;
-/// Part of a total below which less than [`HELD_PART`] of what is left is
+const HELD_RATIO: f64 = 0.5;
+/// Part of a total below which less than [`HELD_RATIO`] of what is left is
 /// kept: what is held is not there for the others.
-const LOW_PART: f64 = 0.4;
+const LOW_BUDGET_RATIO: f64 = 0.4;
 /// Part of its target below which a holder draws.
-const REFILL_PART: f64 = 0.7;
+const REFILL_RATIO: f64 = 0.7;
 /// Part of a total below which what is free counts as scarce.
-const SCARCE_PART: f64 = 0.25;
+const SCARCE_RATIO: f64 = 0.25;
 /// Parts of a total below which what is not spent is little, and above which it
 /// is plenty.
-const PLENTY_PARTS: [f64; 2] = [0.35, 0.7];
+const PLENTY_RATIOS: [f64; 2] = [0.35, 0.7];
 /// Time of the present demand that a line allows at once, so that not each
 /// request waits for an append: with little left, and with plenty.
 const BURST_TIMES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1_000)];
 /// Demand that a line allows once it grows, as a multiple of the present one, in
 /// the same order: demand rises meanwhile, and is measured late.
-const PACE_FACTORS: [f64; 2] = [1.1, 2.0];
+const RATE_FACTORS: [f64; 2] = [1.1, 2.0];
 /// The same for each delay of the store, which a new line takes.
-const BURST_DELAYS: f64 = 2.0;
+const BURST_DELAY_FACTOR: f64 = 2.0;
 /// Longest time of the demand that a line allows at once.
-const BURST_LIMIT: Duration = Duration::from_secs(2);
+const BURST_TIME_LIMIT: Duration = Duration::from_secs(2);
 /// Time from a line's making until it grows, in the same order. New lines come
 /// more often while the store answers. Machines that lost their power together
 /// are back some 2 s later, and what lines allow until then is lost; a holder
@@ -76,7 +76,7 @@
     /// The total.
     pub prepaid: TokenCount,
     /// Tokens that all holders have drawn and not reported as spent.
-    pub held: TokenCount,
+    pub unreported: TokenCount,
     /// Tokens a second that the other holders spend, by their reports.
     pub others_per_second: f64,
     /// Instances that hold the budget.
@@ -84,7 +84,7 @@
     /// Time that the store takes for an append.
     pub store_delay: Duration,
     /// Whether this holder has begun a planned stop.
-    pub stopping: bool,
+    pub shutting_down: bool,
     /// What it does for the budget.
     pub mode: DrawMode,
 }
@@ -109,7 +109,7 @@
     /// Tokens to ask for; zero asks for nothing.
     pub draw: TokenCount,
     /// Tokens to give back.
-    pub give_back: TokenCount,
+    pub tokens_to_return: TokenCount,
     /// Tokens that the next line allows at once.
     pub burst: TokenCount,
     /// Tokens that the next line allows in each second, once it grows.
@@ -123,13 +123,13 @@
 /// Decides for one budget.
 pub fn decide(view: &DrawInputs) -> DrawDecision {
     let decision = decide_serving(view);
-    let waiting = view.wanted.saturating_sub(view.available).min(view.free);
+    let waiting_draw = view.wanted.saturating_sub(view.available).min(view.free);
     match view.mode {
-        DrawMode::Prefetch if !view.stopping => return decision,
-        DrawMode::OnDemand if !view.stopping => {
+        DrawMode::Prefetch if !view.shutting_down => return decision,
+        DrawMode::OnDemand if !view.shutting_down => {
             return DrawDecision {
-                draw: waiting,
-                give_back: TokenCount::ZERO,
+                draw: waiting_draw,
+                tokens_to_return: TokenCount::ZERO,
                 ..decision
             };
         }
@@ -138,51 +138,53 @@
     // The store may be out of reach when a stop ends, and a relieved holder's
     // tokens are missing elsewhere: what the last requests will not need goes
     // back at once.
-    let needed = view.demand_per_second * LEAVING_HORIZON.as_secs_f64();
+    let needed = view.demand_per_second * RELEASE_HORIZON.as_secs_f64();
     let kept = tokens(needed) + view.wanted;
     DrawDecision {
-        draw: waiting,
-        give_back: view.available.saturating_sub(kept),
+        draw: waiting_draw,
+        tokens_to_return: view.available.saturating_sub(kept),
         ..decision
     }
 }
 
 /// Decides for a holder that serves on.
 fn decide_serving(view: &DrawInputs) -> DrawDecision {
-    let ample = ampleness(view);
+    let availability = availability_factor(view);
     let holders = f64::from(view.holders.max(1));
-    let ready = view.free.get() as f64 * READY_PART / holders * ample;
-    let demand = view.demand_per_second * HORIZON.as_secs_f64() * ample;
+    let baseline = view.free.get() as f64 * BASELINE_RATIO / holders * availability;
+    let demand = view.demand_per_second * DEMAND_HORIZON.as_secs_f64() * availability;
     let available = view.available.get() as f64;
-    let target = demand.max(ready * READY_HELD).min(fair_part(view, ready));
-    let missing = if available < target * REFILL_PART {
+    let target = demand
+        .max(baseline * BASELINE_HELD_FACTOR)
+        .min(fair_share(view, baseline));
+    let missing = if available < target * REFILL_RATIO {
         target - available
     } else {
         0.0
     };
     let wanted = view.wanted.saturating_sub(view.available);
     let draw = tokens(missing).max(wanted).min(view.free);
-    let surplus = available - view.wanted.get() as f64 - target / REFILL_PART;
-    let scarce = ample < 1.0 && wanted.is_zero();
-    let give_back = if scarce {
+    let surplus = available - view.wanted.get() as f64 - target / REFILL_RATIO;
+    let scarce = availability < 1.0 && wanted.is_zero();
+    let tokens_to_return = if scarce {
         tokens(surplus)
     } else {
         TokenCount::ZERO
     };
-    let delays = view.store_delay.as_secs_f64() * BURST_DELAYS;
+    let delays = view.store_delay.as_secs_f64() * BURST_DELAY_FACTOR;
     let plenty = plenty(view);
-    let burst_time = between(BURST_TIMES, plenty).as_secs_f64() + delays;
-    let burst_time = burst_time.min(BURST_LIMIT.as_secs_f64());
-    let burst = view.demand_per_second * burst_time * ample;
-    let [least, most] = PACE_FACTORS;
-    let limit = view.demand_per_second * (least + (most - least) * plenty) * ample;
+    let burst_time = interpolate(BURST_TIMES, plenty).as_secs_f64() + delays;
+    let burst_time = burst_time.min(BURST_TIME_LIMIT.as_secs_f64());
+    let burst = view.demand_per_second * burst_time * availability;
+    let [least, most] = RATE_FACTORS;
+    let limit = view.demand_per_second * (least + (most - least) * plenty) * availability;
     DrawDecision {
         draw,
-        give_back,
-        burst: tokens(burst.max(ready)),
-        per_second: tokens(limit.max(ready / READY_PACE.as_secs_f64())).get(),
-        grows_after: between(GROWTH_DELAYS, plenty),
-        report_interval: between(REPORT_INTERVALS, plenty),
+        tokens_to_return,
+        burst: tokens(burst.max(baseline)),
+        per_second: tokens(limit.max(baseline / BASELINE_REFILL_TIME.as_secs_f64())).get(),
+        grows_after: interpolate(GROWTH_DELAYS, plenty),
+        report_interval: interpolate(REPORT_INTERVALS, plenty),
     }
 }
 
@@ -191,39 +193,39 @@
     if view.prepaid.is_zero() {
         return 0.0;
     }
-    let left = view.free + view.held;
+    let left = view.free + view.unreported;
     let part = left.get() as f64 / view.prepaid.get() as f64;
-    let [little, plenty] = PLENTY_PARTS;
+    let [little, plenty] = PLENTY_RATIOS;
     ((part - little) / (plenty - little)).clamp(0.0, 1.0)
 }
 
 /// The time that lies at `part` of the way between two.
-fn between([from, to]: [Duration; 2], part: f64) -> Duration {
+fn interpolate([from, to]: [Duration; 2], part: f64) -> Duration {
     from.mul_f64(1.0 - part) + to.mul_f64(part)
 }
 
 /// The part of what is left that this holder may keep: its part of the
 /// demand, of the part that may be out at once. Without a demand it is what
 /// is kept ready.
-fn fair_part(view: &DrawInputs, ready: f64) -> f64 {
-    let left = (view.free + view.held).get() as f64;
-    let low = view.prepaid.get() as f64 * LOW_PART;
-    let lowness = if low > 0.0 {
+fn fair_share(view: &DrawInputs, baseline: f64) -> f64 {
+    let left = (view.free + view.unreported).get() as f64;
+    let low = view.prepaid.get() as f64 * LOW_BUDGET_RATIO;
+    let scale = if low > 0.0 {
         (left / low).min(1.0)
     } else {
         0.0
     };
-    let kept = left * HELD_PART * lowness.powf(1.5);
+    let kept = left * HELD_RATIO * scale.powf(1.5);
     let demand = view.demand_per_second + view.others_per_second;
     if view.demand_per_second <= 0.0 {
-        return (ready * READY_HELD).min(kept / f64::from(view.holders.max(1)));
+        return (baseline * BASELINE_HELD_FACTOR).min(kept / f64::from(view.holders.max(1)));
     }
     kept * view.demand_per_second / demand
 }
 
 /// 1 while a budget is far from its limit, down to 0 at it.
-fn ampleness(view: &DrawInputs) -> f64 {
-    let scarce = view.prepaid.get() as f64 * SCARCE_PART;
+fn availability_factor(view: &DrawInputs) -> f64 {
+    let scarce = view.prepaid.get() as f64 * SCARCE_RATIO;
     if scarce <= 0.0 {
         return 0.0;
     }
--- a/crates/hibiscus-ledger/src/account/quota.rs
+++ b/crates/hibiscus-ledger/src/account/quota.rs
@@ -13,7 +13,7 @@
     /// This holder drew them.
     Drawn,
     /// Another holder gave them, and counts them as spent.
-    Transferred,
+    Received,
 }
 
 /// Tokens set aside for one request.
@@ -36,7 +36,7 @@
 
 /// One line that was sent, and the batch that carries it.
 #[derive(Clone, Copy, Debug)]
-struct SentPace {
+struct SentLimit {
     batch: u64,
     limit: SpendingLimit,
 }
@@ -53,31 +53,31 @@
     spent: TokenCount,
     reserved: TokenCount,
     /// Tokens that other holders gave and that are not set aside.
-    given: TokenCount,
-    paces: VecDeque<SentPace>,
+    received: TokenCount,
+    limits: VecDeque<SentLimit>,
     acknowledged: bool,
 }
 
 impl LocalQuota {
     /// Adds tokens that the fold granted.
-    pub fn add(&mut self, granted: TokenCount) {
+    pub fn add_drawn(&mut self, granted: TokenCount) {
         self.drawn = self.drawn + granted;
     }
 
     /// Adds tokens that another holder gave.
-    pub fn add_given(&mut self, tokens: TokenCount) {
-        self.given = self.given + tokens;
+    pub fn add_received(&mut self, tokens: TokenCount) {
+        self.received = self.received + tokens;
     }
 
     /// Tokens that other holders gave and that are not set aside.
-    pub fn given(&self) -> TokenCount {
-        self.given
+    pub fn received(&self) -> TokenCount {
+        self.received
     }
 
     /// Takes out all that other holders gave and that is not set aside, to be
     /// passed on.
-    pub fn take_given(&mut self) -> TokenCount {
-        std::mem::take(&mut self.given)
+    pub fn take_received(&mut self) -> TokenCount {
+        std::mem::take(&mut self.received)
     }
 
     /// Tokens that were drawn and are neither spent nor set aside.
@@ -110,21 +110,21 @@
     /// Whether a line was sent that is not acknowledged.
     pub fn has_unacknowledged(&self) -> bool {
         let kept = usize::from(self.acknowledged);
-        self.paces.len() > kept
+        self.limits.len() > kept
     }
 
     /// Notes that `batch` carries the line `limit`.
-    pub fn send_pace(&mut self, batch: u64, limit: SpendingLimit) {
-        self.paces.push_back(SentPace { batch, limit });
+    pub fn record_sent_limit(&mut self, batch: u64, limit: SpendingLimit) {
+        self.limits.push_back(SentLimit { batch, limit });
     }
 
     /// Notes that the store has all batches up to `batch`.
     pub fn acknowledge(&mut self, batch: u64) {
-        let newest = self.paces.iter().rposition(|sent| sent.batch <= batch);
+        let newest = self.limits.iter().rposition(|sent| sent.batch <= batch);
         let Some(newest) = newest else {
             return;
         };
-        self.paces.drain(..newest);
+        self.limits.drain(..newest);
         self.acknowledged = true;
     }
 
@@ -138,9 +138,9 @@
         tokens: TokenCount,
         now: MachineTime,
     ) -> std::result::Result<QuotaReservation, ReservationError> {
-        if tokens <= self.given {
-            self.given = self.given.saturating_sub(tokens);
-            let source = TokenSource::Transferred;
+        if tokens <= self.received {
+            self.received = self.received.saturating_sub(tokens);
+            let source = TokenSource::Received;
             return Ok(QuotaReservation { tokens, source });
         }
         if tokens > self.available() {
@@ -157,13 +157,13 @@
 
     /// Ends a reservation of which `charge` was used; more than was reserved
     /// is never charged.
-    pub fn settle(&mut self, hold: QuotaReservation, charge: TokenCount) {
-        if hold.source == TokenSource::Transferred {
-            self.given = self.given + hold.tokens.saturating_sub(charge);
+    pub fn settle(&mut self, reservation: QuotaReservation, charge: TokenCount) {
+        if reservation.source == TokenSource::Received {
+            self.received = self.received + reservation.tokens.saturating_sub(charge);
             return;
         }
-        self.reserved = self.reserved.saturating_sub(hold.tokens);
-        self.spent = self.spent + charge.min(hold.tokens);
+        self.reserved = self.reserved.saturating_sub(reservation.tokens);
+        self.spent = self.spent + charge.min(reservation.tokens);
     }
 
     /// Takes tokens back that were counted as spent and passed on to another
@@ -172,25 +172,29 @@
     pub fn refund(&mut self, tokens: TokenCount) {
         let own = tokens.min(self.spent);
         self.spent = self.spent.saturating_sub(own);
-        self.given = self.given + tokens.saturating_sub(own);
+        self.received = self.received + tokens.saturating_sub(own);
     }
 
     /// Takes up to `tokens` out, to be reported as given back.
-    pub fn give_back(&mut self, tokens: TokenCount) {
+    pub fn return_tokens(&mut self, tokens: TokenCount) {
         self.returned = self.returned + tokens.min(self.available());
     }
 
     /// Time from `now` until `tokens` more may be set aside if no further line
     /// is acknowledged; `None` if never.
-    pub fn waits_for(&self, tokens: TokenCount, now: MachineTime) -> Option<u64> {
+    pub fn millis_until_available(&self, tokens: TokenCount, now: MachineTime) -> Option<u64> {
         if !self.acknowledged || tokens > self.available() {
             return None;
         }
         let used = self.used() + tokens;
         let mut longest = 0;
-        for sent in &self.paces {
-            let passed = now.since_own(sent.limit.created_at);
-            longest = longest.max(sent.limit.allows_after(used)?.saturating_sub(passed));
+        for sent in &self.limits {
+            let passed = now.since_same_process(sent.limit.created_at);
+            longest = longest.max(
+                sent.limit
+                    .millis_until_allowed(used)?
+                    .saturating_sub(passed),
+            );
         }
         Some(longest)
     }
@@ -201,7 +205,7 @@
         if !self.acknowledged {
             return None;
         }
-        let limit = |sent: &SentPace| sent.limit.limit_at(now);
-        self.paces.iter().map(limit).min()
+        let limit = |sent: &SentLimit| sent.limit.allowed_at(now);
+        self.limits.iter().map(limit).min()
     }
 }
--- a/crates/hibiscus-ledger/src/account/snapshot.rs
+++ b/crates/hibiscus-ledger/src/account/snapshot.rs
@@ -32,7 +32,7 @@
 
 /// Closed holders that a snapshot names, the newest: late records come within
 /// seconds, and a record of the store takes 262,144 bytes.
-const ENDED_WRITTEN: usize = 4_000;
+const SNAPSHOT_CLOSED_HOLDERS_LIMIT: usize = 4_000;
 
 /// One budget as the records before an offset leave it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     /// The account.
     pub account: BudgetAccount,
     /// Its closed holders, the newest ones.
-    pub ended: Vec<IncarnationId>,
+    pub closed_holders: Vec<IncarnationId>,
 }
 
 impl BudgetAccount {
@@ -62,14 +62,14 @@
     /// The present snapshot of `budget`, if it is known.
     pub fn snapshot(&self, budget: &BudgetName) -> Option<AccountSnapshot> {
         let account = self.budgets.get(budget)?.clone();
-        let ended = self.ended.iter().rev();
-        let ended = ended.filter(|(name, _holder)| name == budget);
-        let ended = ended.take(ENDED_WRITTEN);
+        let closed_holders = self.closed_holders.iter().rev();
+        let closed_holders = closed_holders.filter(|(name, _holder)| name == budget);
+        let closed_holders = closed_holders.take(SNAPSHOT_CLOSED_HOLDERS_LIMIT);
         Some(AccountSnapshot {
             budget: budget.clone(),
             next: self.next,
             account,
-            ended: ended.map(|(_name, holder)| *holder).collect(),
+            closed_holders: closed_holders.map(|(_name, holder)| *holder).collect(),
         })
     }
 
@@ -84,14 +84,16 @@
         for snapshot in snapshots {
             let budget = snapshot.budget;
             let mut account = snapshot.account;
-            account.from = snapshot.next;
-            let mut ended = snapshot.ended;
+            account.first_offset = snapshot.next;
+            let mut closed_holders = snapshot.closed_holders;
             if snapshot.next < first {
-                ended.extend(account.close_all());
+                closed_holders.extend(account.close_all());
                 stale.push(budget.clone());
             }
-            let ended = ended.into_iter().map(|holder| (budget.clone(), holder));
-            fold.ended.extend(ended);
+            let closed_holders = closed_holders
+                .into_iter()
+                .map(|holder| (budget.clone(), holder));
+            fold.closed_holders.extend(closed_holders);
             fold.budgets.insert(budget, account);
         }
         (fold, stale)
--- a/crates/hibiscus-ledger/tests/account.rs
+++ b/crates/hibiscus-ledger/tests/account.rs
@@ -91,10 +91,10 @@
 fn a_draw_gets_what_is_free_and_a_copy_gets_nothing() {
     let mut fold = AccountFold::default();
     fold.apply(0, &[prepaid(1, TOKENS)]);
-    let verdicts = fold.apply(1, &[draw(1, 1, 700)]);
-    assert_eq!(verdicts[0].granted, tokens(700));
-    let verdicts = fold.apply(2, &[draw(2, 1, 700)]);
-    assert_eq!(verdicts[0].granted, tokens(300));
+    let results = fold.apply(1, &[draw(1, 1, 700)]);
+    assert_eq!(results[0].granted, tokens(700));
+    let results = fold.apply(2, &[draw(2, 1, 700)]);
+    assert_eq!(results[0].granted, tokens(300));
     assert!(fold.apply(3, &[draw(1, 1, 700)]).is_empty());
     assert_eq!(free(&fold), 0);
 }
@@ -177,7 +177,7 @@
 #[test]
 fn a_holder_spends_nothing_before_its_first_line_is_acknowledged() {
     let mut quota = LocalQuota::default();
-    quota.add(tokens(500));
+    quota.add_drawn(tokens(500));
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
         Err(ReservationError::TooFast)
@@ -189,7 +189,7 @@
         created_at: at(0),
         grows_after: 0,
     };
-    quota.send_pace(1, limit);
+    quota.record_sent_limit(1, limit);
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
         Err(ReservationError::TooFast)
@@ -217,18 +217,18 @@
         created_at: at(0),
         grows_after: 1_500,
     };
-    assert_eq!(line.limit_at(at(1_500)), tokens(1_100));
-    assert_eq!(line.proved_at(at(1_500)), Some(tokens(1_100)));
-    assert_eq!(line.limit_at(at(3_500)), tokens(2_100));
-    assert_eq!(line.proved_at(at(3_500)), Some(tokens(2_100)));
-    assert_eq!(line.allows_after(tokens(1_100)), Some(0));
-    assert_eq!(line.allows_after(tokens(1_101)), Some(1_502));
-    assert_eq!(line.limit_after(1_502), tokens(1_101));
+    assert_eq!(line.allowed_at(at(1_500)), tokens(1_100));
+    assert_eq!(line.max_spent_at(at(1_500)), Some(tokens(1_100)));
+    assert_eq!(line.allowed_at(at(3_500)), tokens(2_100));
+    assert_eq!(line.max_spent_at(at(3_500)), Some(tokens(2_100)));
+    assert_eq!(line.millis_until_allowed(tokens(1_100)), Some(0));
+    assert_eq!(line.millis_until_allowed(tokens(1_101)), Some(1_502));
+    assert_eq!(line.allowed_after(1_502), tokens(1_101));
     let quiet = SpendingLimit {
         per_second: 0,
         ..line
     };
-    assert_eq!(quiet.allows_after(tokens(1_101)), None);
+    assert_eq!(quiet.millis_until_allowed(tokens(1_101)), None);
 }
 
 /// What a holder may spend without a word to the store while the store answers
@@ -240,7 +240,7 @@
         others_per_second: 70_000.0,
         available: tokens(150_000),
         free: tokens(1_100_000),
-        held: tokens(200_000),
+        unreported: tokens(200_000),
         prepaid: tokens(4_000_000),
         holders: 8,
         ..DrawInputs::default()
@@ -270,8 +270,8 @@
 #[test]
 fn given_tokens_count_for_the_giver_and_not_for_the_taker() {
     let mut giver = LocalQuota::default();
-    giver.add(tokens(500));
-    giver.send_pace(
+    giver.add_drawn(tokens(500));
+    giver.record_sent_limit(
         1,
         SpendingLimit {
             burst: tokens(300),
@@ -285,16 +285,16 @@
         Err(ReservationError::TooFast)
     );
     let given = tokens(300);
-    let hold = giver.reserve(given, at(0)).expect("the line allows it");
-    giver.settle(hold, given);
+    let reservation = giver.reserve(given, at(0)).expect("the line allows it");
+    giver.settle(reservation, given);
     assert_eq!(giver.spent(), tokens(300));
     let mut taker = LocalQuota::default();
-    taker.add_given(given);
-    let hold = taker
+    taker.add_received(given);
+    let reservation = taker
         .reserve(tokens(200), at(0))
         .expect("the tokens were given");
-    assert_eq!(hold.source, TokenSource::Transferred);
-    taker.settle(hold, tokens(50));
+    assert_eq!(reservation.source, TokenSource::Received);
+    taker.settle(reservation, tokens(50));
     assert_eq!(taker.spent(), TokenCount::ZERO);
     assert!(taker.reserve(tokens(250), at(0)).is_ok());
 }
@@ -304,18 +304,18 @@
 #[test]
 fn tokens_that_come_back_are_there_for_the_store_and_the_next_request() {
     let mut quota = LocalQuota::default();
-    quota.add(tokens(500));
+    quota.add_drawn(tokens(500));
     let line = SpendingLimit {
         burst: tokens(300),
         created_at: at(0),
         ..SpendingLimit::default()
     };
-    quota.send_pace(1, line);
+    quota.record_sent_limit(1, line);
     quota.acknowledge(1);
-    let hold = quota
+    let reservation = quota
         .reserve(tokens(300), at(0))
         .expect("the line allows it");
-    quota.settle(hold, tokens(300));
+    quota.settle(reservation, tokens(300));
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
         Err(ReservationError::TooFast)
@@ -331,7 +331,7 @@
     // What another holder had passed on counts there.
     quota.refund(tokens(200));
     assert_eq!(quota.spent(), TokenCount::ZERO);
-    assert_eq!(quota.given(), tokens(20));
+    assert_eq!(quota.received(), tokens(20));
 }
 
 #[test]
@@ -367,7 +367,7 @@
         demand_per_second: 25_000.0,
         available: tokens(60_000),
         free: tokens(420_000),
-        held: tokens(80_000),
+        unreported: tokens(80_000),
         prepaid: tokens(880_000),
         holders: 7,
         ..DrawInputs::default()
@@ -405,7 +405,7 @@
         ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
-    assert!(decision.give_back >= tokens(4_000), "{decision:?}");
+    assert!(decision.tokens_to_return >= tokens(4_000), "{decision:?}");
     assert!(decision.burst.is_zero(), "{decision:?}");
     assert_eq!(decision.per_second, 0);
 }
@@ -451,12 +451,12 @@
         free: tokens(900_000),
         prepaid: tokens(1_500_000),
         holders: 7,
-        stopping: true,
+        shutting_down: true,
         ..DrawInputs::default()
     };
     let decision = policy::decide(&view);
     assert!(decision.draw.is_zero(), "{decision:?}");
-    assert!(decision.give_back >= tokens(120_000), "{decision:?}");
+    assert!(decision.tokens_to_return >= tokens(120_000), "{decision:?}");
 }
 
 fn snapshots(fold: &AccountFold) -> Vec<AccountSnapshot> {
@@ -562,11 +562,11 @@
     };
     let decision = policy::decide(&view);
     assert!(decision.draw.is_zero(), "{decision:?}");
-    assert_eq!(decision.give_back, view.available);
+    assert_eq!(decision.tokens_to_return, view.available);
     let wanted = tokens(60_000);
     let decision = policy::decide(&DrawInputs { wanted, ..view });
     assert_eq!(decision.draw, tokens(10_000));
-    assert!(decision.give_back.is_zero(), "{decision:?}");
+    assert!(decision.tokens_to_return.is_zero(), "{decision:?}");
 }
 
 /// A holder that is cut off must outlast the cut with what it has.
@@ -582,7 +582,7 @@
     };
     let decision = policy::decide(&view);
     assert!(decision.draw.is_zero(), "{decision:?}");
-    assert!(decision.give_back.is_zero(), "{decision:?}");
+    assert!(decision.tokens_to_return.is_zero(), "{decision:?}");
     let wanted = tokens(60_000);
     let decision = policy::decide(&DrawInputs { wanted, ..view });
     assert_eq!(decision.draw, tokens(10_000));
--- a/crates/hibiscus-ledger/tests/account_exhaustive.rs
+++ b/crates/hibiscus-ledger/tests/account_exhaustive.rs
@@ -46,7 +46,7 @@
 
 /// Which lines the holder keeps to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PaceRule {
+enum LimitRule {
     /// The acknowledged one and all sent since, as the purse does.
     AllSent,
     /// The newest one, as soon as it is sent.
@@ -142,14 +142,14 @@
 
     /// Appends `record`; the first holder, while it lives, sees its draws.
     fn append(&mut self, record: &AccountRecord) {
-        let verdicts = self.fold.apply(self.offset, std::slice::from_ref(record));
+        let results = self.fold.apply(self.offset, std::slice::from_ref(record));
         self.offset += 1;
-        for verdict in verdicts {
-            if verdict.holder == process(FIRST) && !self.killed {
-                self.quota.add(verdict.granted);
+        for result in results {
+            if result.holder == process(FIRST) && !self.killed {
+                self.quota.add_drawn(result.granted);
             }
-            if verdict.holder == process(OTHER) {
-                self.other_used += verdict.granted.get();
+            if result.holder == process(OTHER) {
+                self.other_used += result.granted.get();
             }
         }
     }
@@ -168,7 +168,7 @@
             self.reports,
             self.checked,
         );
-        let paces = format!("{:?}", self.quota);
+        let limits = format!("{:?}", self.quota);
         let counts = (self.millis, self.used, self.other_used, self.other_serial);
         // Without the offset: copies of an append lead to the same state.
         let state = (
@@ -177,16 +177,16 @@
             held,
             appending,
             flags,
-            paces,
+            limits,
             counts,
         );
         codec::encode(&state).expect("the state is encoded")
     }
 
     /// All states one step on.
-    fn steps(&self, close_rule: CloseRule, pace_rule: PaceRule) -> Vec<Self> {
+    fn steps(&self, close_rule: CloseRule, limit_rule: LimitRule) -> Vec<Self> {
         let mut next = Vec::new();
-        self.holder_steps(pace_rule, &mut next);
+        self.holder_steps(limit_rule, &mut next);
         self.store_steps(&mut next);
         if self.millis < TIME_LIMIT * 1_000 {
             next.push(self.with(|state| state.millis += 1_000));
@@ -213,7 +213,7 @@
     }
 
     /// What the first holder does while it lives.
-    fn holder_steps(&self, pace_rule: PaceRule, next: &mut Vec<Self>) {
+    fn holder_steps(&self, limit_rule: LimitRule, next: &mut Vec<Self>) {
         if self.killed {
             return;
         }
@@ -226,20 +226,20 @@
         if self.drew && self.appending.is_none() && self.reports < REPORT_LIMIT {
             next.push(self.with(Self::report));
         }
-        let allowed = match pace_rule {
-            PaceRule::AllSent => self
+        let allowed = match limit_rule {
+            LimitRule::AllSent => self
                 .quota
                 .clone()
                 .reserve(TokenCount::new(1), self.now())
                 .is_ok(),
-            PaceRule::NewestSent => self.is_allowed_by_newest(),
+            LimitRule::NewestSent => self.is_allowed_by_newest(),
         };
         if allowed {
             next.push(self.with(|state| {
                 state.checked += 1;
                 let one = TokenCount::new(1);
-                if let Ok(hold) = state.quota.reserve(one, state.now()) {
-                    state.quota.settle(hold, one);
+                if let Ok(reservation) = state.quota.reserve(one, state.now()) {
+                    state.quota.settle(reservation, one);
                 } else {
                     // The weaker rule spends what the purse refuses.
                     state.used += 1;
@@ -294,7 +294,7 @@
             grows_after: self.grows_after,
         };
         self.newest = Some(limit);
-        self.quota.send_pace(self.reports, limit);
+        self.quota.record_sent_limit(self.reports, limit);
         let record = AccountRecord::Report(HolderReport {
             budget: budget(),
             holder: process(FIRST),
@@ -310,7 +310,7 @@
     }
 
     fn is_allowed_by_newest(&self) -> bool {
-        let limit = self.newest.map(|limit| limit.limit_at(self.now()));
+        let limit = self.newest.map(|limit| limit.allowed_at(self.now()));
         let used = TokenCount::new(self.used + self.checked + 1);
         let drawn = self.quota.available() + self.quota.used();
         limit.is_some_and(|limit| used <= limit) && used <= drawn
@@ -351,7 +351,7 @@
     freed: usize,
 }
 
-fn search(close_rule: CloseRule, pace_rule: PaceRule, grows_after: u64) -> SearchResult {
+fn search(close_rule: CloseRule, limit_rule: LimitRule, grows_after: u64) -> SearchResult {
     let mut result = SearchResult::default();
     let mut seen = HashSet::new();
     let mut waiting = VecDeque::from([SearchState::start(grows_after)]);
@@ -370,7 +370,7 @@
         }
         // More than what the holder left, so some of its rest was freed.
         result.freed += usize::from(state.closed && state.other_used > PREPAID - 2);
-        waiting.extend(state.steps(close_rule, pace_rule));
+        waiting.extend(state.steps(close_rule, limit_rule));
     }
     result
 }
@@ -378,7 +378,7 @@
 #[test]
 fn no_order_of_kills_and_late_appends_overspends() {
     for grows_after in GROWS_AFTER {
-        let result = search(CloseRule::SpentAtMost, PaceRule::AllSent, grows_after);
+        let result = search(CloseRule::SpentAtMost, LimitRule::AllSent, grows_after);
         assert_eq!(result.overspent, 0, "{grows_after}: {result:?}");
         assert!(result.states > 1_000, "{grows_after}: {result:?}");
         assert!(result.freed > 0, "{grows_after}: {result:?}");
@@ -388,7 +388,7 @@
 #[test]
 fn closing_by_the_last_report_alone_overspends() {
     for grows_after in GROWS_AFTER {
-        let result = search(CloseRule::LastReport, PaceRule::AllSent, grows_after);
+        let result = search(CloseRule::LastReport, LimitRule::AllSent, grows_after);
         assert!(result.overspent > 0, "{grows_after}: {result:?}");
     }
 }
@@ -396,7 +396,7 @@
 #[test]
 fn keeping_only_to_the_newest_line_overspends() {
     for grows_after in GROWS_AFTER {
-        let result = search(CloseRule::SpentAtMost, PaceRule::NewestSent, grows_after);
+        let result = search(CloseRule::SpentAtMost, LimitRule::NewestSent, grows_after);
         assert!(result.overspent > 0, "{grows_after}: {result:?}");
     }
 }
--- a/crates/hibiscus-ledger/tests/account_power.rs
+++ b/crates/hibiscus-ledger/tests/account_power.rs
@@ -12,8 +12,8 @@
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_ledger::account::HolderReport;
 use hibiscus_ledger::account::agreement;
-use hibiscus_ledger::account::agreement::ElapsedTime;
 use hibiscus_ledger::account::agreement::RecentReadings;
+use hibiscus_ledger::account::agreement::TimeLowerBound;
 use hibiscus_ledger::account::limit::MachineTime;
 use hibiscus_ledger::account::limit::SpendingLimit;
 use hibiscus_ledger::account::quota::LocalQuota;
@@ -52,7 +52,7 @@
     steady_from: u64,
     started: u64,
     quota: LocalQuota,
-    passed: ElapsedTime,
+    passed: TimeLowerBound,
     drawn: u64,
     reports: u64,
     batch: u64,
@@ -104,7 +104,7 @@
         self.holder = holder;
         self.started = truth;
         self.quota = LocalQuota::default();
-        self.passed = ElapsedTime::default();
+        self.passed = TimeLowerBound::default();
         self.drawn = 0;
         self.reports = 0;
         self.batch = 0;
@@ -137,7 +137,7 @@
             created_at: self.now(truth),
             grows_after: GROWS_AFTER,
         };
-        self.quota.send_pace(self.batch, limit);
+        self.quota.record_sent_limit(self.batch, limit);
         records.push(AccountRecord::Report(HolderReport {
             budget: budget(),
             holder: self.holder,
@@ -158,10 +158,10 @@
         let allowed = self.quota.allowed(now).unwrap_or_default();
         let most = allowed.saturating_sub(self.quota.used());
         let most = most.min(self.quota.available());
-        let Ok(hold) = self.quota.reserve(most, now) else {
+        let Ok(reservation) = self.quota.reserve(most, now) else {
             return 0;
         };
-        self.quota.settle(hold, most);
+        self.quota.settle(reservation, most);
         most.get()
     }
 }
@@ -182,7 +182,7 @@
             steady_from: 0,
             started: FIRST_MILLIS,
             quota: LocalQuota::default(),
-            passed: ElapsedTime::default(),
+            passed: TimeLowerBound::default(),
             drawn: 0,
             reports: 0,
             batch: 0,
@@ -204,18 +204,18 @@
     }
 
     fn append(&mut self, records: &[AccountRecord]) {
-        let verdicts = self.fold.apply(self.offset, records);
+        let results = self.fold.apply(self.offset, records);
         self.offset += 1;
-        if let Some(passed) = self.fold.passed() {
+        if let Some(passed) = self.fold.time_lower_bound() {
             for machine in &mut self.machines {
                 machine.passed.observe(passed, machine.now(self.truth));
             }
         }
-        for verdict in verdicts {
+        for result in results {
             let machine = self.machines.iter_mut();
-            let holder = verdict.holder;
+            let holder = result.holder;
             if let Some(machine) = machine.into_iter().find(|held| held.holder == holder) {
-                machine.quota.add(verdict.granted);
+                machine.quota.add_drawn(result.granted);
             }
         }
     }
@@ -278,7 +278,7 @@
                 (CloseRule::OwnClock, Some(report)) => ended
                     .and_then(|ended| ended.checked_sub(report.limit.created_at.unix_millis))
                     .map_or(held.counted(), |spent_for| {
-                        report.limit.limit_after(spent_for).min(held.counted())
+                        report.limit.allowed_after(spent_for).min(held.counted())
                     }),
                 _ => held.spent_by_agreement(ended),
             };
@@ -375,5 +375,5 @@
     for (number, millis) in [900, 100, 901, 902, 101, 903, 102].iter().enumerate() {
         readings.push(&InstanceName::new(format!("machine-{number}")), *millis);
     }
-    assert_eq!(readings.passed(), Some(102));
+    assert_eq!(readings.agreed_lower_bound(), Some(102));
 }
--- a/crates/hibiscus-traffic/src/budgets.rs
+++ b/crates/hibiscus-traffic/src/budgets.rs
@@ -22,7 +22,7 @@
 use hibiscus_events::event;
 use hibiscus_ledger::account::AccountFold;
 use hibiscus_ledger::account::AccountRecord;
-use hibiscus_ledger::account::agreement::ElapsedTime;
+use hibiscus_ledger::account::agreement::TimeLowerBound;
 use hibiscus_ledger::account::demand::DemandCounter;
 use hibiscus_ledger::account::limit::MachineTime;
 use hibiscus_ledger::account::policy::DrawMode;
@@ -64,22 +64,22 @@
     /// Number of the last draw sent.
     draw_serial: u64,
     /// Tokens that it asked for.
-    asked: TokenCount,
+    requested: TokenCount,
     /// Whether that draw has no verdict yet.
     pending: bool,
     /// Number of the last draw whose verdict came: a stream that is read once
     /// more brings verdicts again.
-    verdict_serial: u64,
+    decided_serial: u64,
     /// Number of the last report sent.
     report_serial: u64,
     /// When it was made.
-    report_made: Duration,
+    reported_at: Duration,
     /// Sums that it told: used and given back.
-    reported: (TokenCount, TokenCount),
+    reported_sums: (TokenCount, TokenCount),
     /// Tokens that waiting requests need.
     wanted: TokenCount,
     /// When tokens that other holders gave were last used or added.
-    given_used: Duration,
+    received_used_at: Duration,
     /// Tokens passed on to instances that do not hold the budget, by time: what
     /// their requests leave comes back.
     transferred: VecDeque<(Duration, TokenCount)>,
@@ -90,7 +90,7 @@
 impl HeldBudget {
     /// Whether the last report told all that was used and given back.
     fn is_reported(&self) -> bool {
-        (self.quota.used(), self.quota.returned()) == self.reported
+        (self.quota.used(), self.quota.returned()) == self.reported_sums
     }
 }
 
@@ -191,7 +191,7 @@
     /// Number of the batch that the unsent records will be.
     batch: u64,
     /// When the oldest batch that is not acknowledged was made.
-    unacknowledged: Option<Duration>,
+    unacknowledged_since: Option<Duration>,
     acknowledged: u64,
     /// Offset after the last record of this holder that the store has.
     appended: u64,
@@ -203,14 +203,14 @@
     /// Time that the store takes for an append, of late.
     store_delay: Duration,
     /// The clocks when this process held its ports: those before had ended.
-    began: MachineTime,
+    ports_held_at: MachineTime,
     recovery: RecoveryPhase,
     /// Time of day that has passed by the machines' records.
-    passed: ElapsedTime,
+    time_lower_bound: TimeLowerBound,
     /// When the last record of the stream came, or it was read to its end.
-    heard: Duration,
+    stream_read_at: Duration,
     /// Whether a planned stop has begun.
-    stopping: bool,
+    shutting_down: bool,
     /// Whether the own accounts were closed.
     closed: bool,
     /// The thread that reads the stream, once it runs.
@@ -231,7 +231,7 @@
         Self {
             holder,
             machine,
-            began: clock.now(),
+            ports_held_at: clock.now(),
             clock,
             fold: AccountFold::default(),
             held: BTreeMap::new(),
@@ -241,7 +241,7 @@
             unsent_snapshots: Vec::new(),
             snapshots: BTreeMap::new(),
             batch: 1,
-            unacknowledged: None,
+            unacknowledged_since: None,
             acknowledged: 0,
             appended: 0,
             totals: BTreeMap::new(),
@@ -249,9 +249,9 @@
             sent: VecDeque::new(),
             store_delay: Duration::ZERO,
             recovery: RecoveryPhase::Reading,
-            passed: ElapsedTime::default(),
-            heard: Duration::ZERO,
-            stopping: false,
+            time_lower_bound: TimeLowerBound::default(),
+            stream_read_at: Duration::ZERO,
+            shutting_down: false,
             closed: false,
             reader: None,
             stream_end: 0,
@@ -262,13 +262,17 @@
     /// This process holds the ports of its instance from now on, so the ones
     /// before have ended.
     pub fn set_start_time(&mut self) {
-        self.began = self.clock.now();
+        self.ports_held_at = self.clock.now();
     }
 
     /// This process, the clocks when it held its ports, and the time since.
     pub fn process_start(&self) -> (IncarnationId, MachineTime, Duration) {
-        let since = self.clock.now().since_own(self.began);
-        (self.holder, self.began, Duration::from_millis(since))
+        let since = self.clock.now().since_same_process(self.ports_held_at);
+        (
+            self.holder,
+            self.ports_held_at,
+            Duration::from_millis(since),
+        )
     }
 
     /// The counts of the work for the fleet.
@@ -280,7 +284,7 @@
     pub fn set_stream_end(&mut self, end: u64, now: Duration) {
         self.stream_end = end;
         if self.unread_records() == 0 {
-            self.heard = now;
+            self.stream_read_at = now;
         }
     }
 
@@ -343,7 +347,7 @@
 
     /// Applies a record of the stream.
     pub fn apply(&mut self, offset: u64, record: &[u8], now: Duration) {
-        self.heard = now;
+        self.stream_read_at = now;
         self.tally.records.add();
         let records: Vec<AccountRecord> = match codec::decode(record) {
             Ok(records) => records,
@@ -356,37 +360,38 @@
                 return;
             }
         };
-        let verdicts = self.fold.apply(offset, &records);
-        if let Some(passed) = self.fold.passed() {
-            self.passed.observe(passed, self.clock.now());
+        let results = self.fold.apply(offset, &records);
+        if let Some(time_lower_bound) = self.fold.time_lower_bound() {
+            self.time_lower_bound
+                .observe(time_lower_bound, self.clock.now());
         }
-        for verdict in verdicts {
-            if verdict.holder != self.holder {
+        for result in results {
+            if result.holder != self.holder {
                 continue;
             }
-            let held = self.held.entry(verdict.budget.clone()).or_default();
-            if verdict.serial <= held.verdict_serial {
+            let held = self.held.entry(result.budget.clone()).or_default();
+            if result.serial <= held.decided_serial {
                 continue;
             }
-            held.verdict_serial = verdict.serial;
-            held.quota.add(verdict.granted);
+            held.decided_serial = result.serial;
+            held.quota.add_drawn(result.granted);
             self.tally
-                .count_draw(DrawOutcome::of(held.asked, verdict.granted));
-            held.pending &= verdict.serial < held.draw_serial;
+                .count_draw(DrawOutcome::of(held.requested, result.granted));
+            held.pending &= result.serial < held.draw_serial;
             held.changed.notify_waiters();
             event!(
                 EventCode::TokensDrawn,
                 "budget={} serial={} asked={} granted={} offset={offset}",
-                verdict.budget,
-                verdict.serial,
-                held.asked,
-                verdict.granted
+                result.budget,
+                result.serial,
+                held.requested,
+                result.granted
             );
         }
     }
 
     /// Measures how long the oldest batch up to `number` took.
-    fn note_delay(&mut self, number: u64, now: Duration) {
+    fn measure_store_delay(&mut self, number: u64, now: Duration) {
         let mut oldest = None;
         while let Some((batch, at)) = self.sent.front().copied() {
             if batch > number {
@@ -406,9 +411,9 @@
     /// the offset `end` of the stream.
     pub fn acknowledge(&mut self, number: u64, end: Option<u64>, now: Duration) {
         self.acknowledged = number;
-        self.note_delay(number, now);
+        self.measure_store_delay(number, now);
         self.appended = end.unwrap_or(self.appended);
-        self.unacknowledged = (number + 1 < self.batch).then_some(now);
+        self.unacknowledged_since = (number + 1 < self.batch).then_some(now);
         let mut pending = false;
         for held in self.held.values_mut() {
             held.quota.acknowledge(number);
--- a/crates/hibiscus-traffic/src/budgets/recovery.rs
+++ b/crates/hibiscus-traffic/src/budgets/recovery.rs
@@ -41,8 +41,8 @@
         if self.recovery != RecoveryPhase::Reading {
             return;
         }
-        let (began, own, machine) = (self.began, self.holder, self.machine.clone());
-        let open = self.close_ended("clock", &machine, own, |held| held.spent_by_clock(began));
+        let (began, own, machine) = (self.ports_held_at, self.holder, self.machine.clone());
+        let open = self.close_accounts("clock", &machine, own, |held| held.spent_by_clock(began));
         self.recovery = if open == 0 {
             RecoveryPhase::Complete
         } else {
@@ -59,7 +59,7 @@
             return;
         }
         let (own, machine) = (self.holder, self.machine.clone());
-        self.close_ended("agreement", &machine, own, |held| {
+        self.close_accounts("agreement", &machine, own, |held| {
             Some(held.spent_by_agreement(ended))
         });
     }
@@ -94,7 +94,7 @@
         present: IncarnationId,
         began: MachineTime,
     ) -> usize {
-        self.close_ended("clock", machine, present, |held| held.spent_by_clock(began))
+        self.close_accounts("clock", machine, present, |held| held.spent_by_clock(began))
     }
 
     /// As [`Self::close_machine`], for processes that had ended at the time of
@@ -105,14 +105,14 @@
         present: IncarnationId,
         ended: Option<u64>,
     ) {
-        self.close_ended("agreement", machine, present, |held| {
+        self.close_accounts("agreement", machine, present, |held| {
             Some(held.spent_by_agreement(ended))
         });
     }
 
     /// Closes the accounts of `machine` of other processes than `present` with
     /// what `spent` says; returns how many it says nothing of.
-    fn close_ended(
+    fn close_accounts(
         &mut self,
         proof: &str,
         machine: &InstanceName,
@@ -129,17 +129,17 @@
                     open += 1;
                     continue;
                 };
-                let line = held.report.as_ref().map(|report| report.limit);
-                let line = line.unwrap_or_default();
+                let limit = held.report.as_ref().map(|report| report.limit);
+                let limit = limit.unwrap_or_default();
                 event!(
                     EventCode::AccountClosed,
                     "budget={budget} holder={holder} machine={machine} counted={} spent={spent} reported={} base={} burst={} per_second={} grows_after_ms={} proof={proof}",
                     held.counted(),
                     held.spent,
-                    line.base,
-                    line.burst,
-                    line.per_second,
-                    line.grows_after
+                    limit.base,
+                    limit.burst,
+                    limit.per_second,
+                    limit.grows_after
                 );
                 self.unsent.push(AccountRecord::Close {
                     budget: budget.clone(),
--- a/crates/hibiscus-traffic/src/budgets/review.rs
+++ b/crates/hibiscus-traffic/src/budgets/review.rs
@@ -19,12 +19,12 @@
 
 /// Age from which on the line of a holder that spends nothing is made anew: a
 /// crash loses what the line has come to allow, though nothing was spent.
-const IDLE_INTERVAL: Duration = Duration::from_secs(2);
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Time after which another holder than the first writes a total.
-const TOTAL_WAIT: Duration = Duration::from_millis(500);
+const TOTAL_WRITE_DELAY: Duration = Duration::from_millis(500);
 /// Time after which a total that the stream does not show is written again.
-const TOTAL_REPEAT: Duration = Duration::from_secs(1);
+const TOTAL_REWRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl BudgetManager {
     /// Decides on draws, returns and reports, and hands the records to the
@@ -57,7 +57,7 @@
 
     /// A planned stop has begun.
     pub fn begin_shutdown(&mut self) {
-        self.stopping = true;
+        self.shutting_down = true;
     }
 
     /// Whether the store has all that was sent.
@@ -86,7 +86,7 @@
         for budget in names {
             if let Some(held) = self.held.get_mut(&budget) {
                 let available = held.quota.available();
-                held.quota.give_back(available);
+                held.quota.return_tokens(available);
             }
             self.report(&budget, &DrawDecision::default(), now);
             if self.closed {
@@ -120,9 +120,9 @@
         let is_new = known
             .is_none_or(|known| known.version < total.version && known.prepaid != total.tokens);
         let seen = *total.seen.get_or_insert(now);
-        let is_due = writes_snapshots || waits || now.saturating_sub(seen) >= TOTAL_WAIT;
+        let is_due = writes_snapshots || waits || now.saturating_sub(seen) >= TOTAL_WRITE_DELAY;
         let written = total.written.map(|at| now.saturating_sub(at));
-        if !is_new || !is_due || written.is_some_and(|written| written < TOTAL_REPEAT) {
+        if !is_new || !is_due || written.is_some_and(|written| written < TOTAL_REWRITE_INTERVAL) {
             return;
         }
         total.written = Some(now);
@@ -154,19 +154,19 @@
                 .or(total)
                 .unwrap_or_default(),
             prepaid: prepaid.unwrap_or_default(),
-            held: account.map(BudgetAccount::held).unwrap_or_default(),
+            unreported: account.map(BudgetAccount::unreported).unwrap_or_default(),
             others_per_second: account
                 .map_or(0.0, |account| account.demand_of_others(self.holder) as f64),
             holders: role.holders,
             store_delay: self.store_delay,
-            stopping: self.stopping,
+            shutting_down: self.shutting_down,
             mode: role.mode,
         };
         let decision = policy::decide(&view);
         if !held.pending && !decision.draw.is_zero() {
             held.draw_serial += 1;
             held.pending = true;
-            held.asked = decision.draw;
+            held.requested = decision.draw;
             self.unsent.push(AccountRecord::Draw {
                 budget: budget.clone(),
                 holder: self.holder,
@@ -178,16 +178,16 @@
         if held.quota.has_unacknowledged() {
             return;
         }
-        let returns = !decision.give_back.is_zero();
+        let returns = !decision.tokens_to_return.is_zero();
         if returns {
-            held.quota.give_back(decision.give_back);
+            held.quota.return_tokens(decision.tokens_to_return);
         }
         let sums = (held.quota.used(), held.quota.returned());
-        let due = sums != held.reported
-            && now.saturating_sub(held.report_made) >= decision.report_interval;
+        let due = sums != held.reported_sums
+            && now.saturating_sub(held.reported_at) >= decision.report_interval;
         let first = held.report_serial == 0 && held.draw_serial > 0;
-        let age = now.saturating_sub(held.report_made);
-        let idle = age >= IDLE_INTERVAL && !held.quota.available().is_zero();
+        let age = now.saturating_sub(held.reported_at);
+        let idle = age >= IDLE_REPORT_INTERVAL && !held.quota.available().is_zero();
         if first || idle || returns || due || !held.wanted.is_zero() {
             self.report(budget, &decision, now);
         }
@@ -205,10 +205,10 @@
             created_at: self.clock.now(),
             grows_after: u64::try_from(decision.grows_after.as_millis()).unwrap_or(u64::MAX),
         };
-        held.quota.send_pace(self.batch, limit);
+        held.quota.record_sent_limit(self.batch, limit);
         held.report_serial += 1;
-        held.report_made = now;
-        held.reported = (held.quota.used(), held.quota.returned());
+        held.reported_at = now;
+        held.reported_sums = (held.quota.used(), held.quota.returned());
         self.unsent.push(AccountRecord::Report(HolderReport {
             budget: budget.clone(),
             holder: self.holder,
@@ -216,7 +216,7 @@
             spent: held.quota.spent(),
             returned: held.quota.returned(),
             limit,
-            created_after: self.passed.at(limit.created_at),
+            created_after: self.time_lower_bound.at(limit.created_at),
             demand: held.demand.rate(now) as u64,
             transferred: held.transferred(now),
         }));
@@ -235,7 +235,7 @@
             Ok(()) => {
                 self.sent.push_back((self.batch, now));
                 self.batch += 1;
-                self.unacknowledged.get_or_insert(now);
+                self.unacknowledged_since.get_or_insert(now);
             }
             Err(TrySendError::Full(batch) | TrySendError::Disconnected(batch)) => {
                 self.unsent = batch.records;
--- a/crates/hibiscus-traffic/src/budgets/tokens.rs
+++ b/crates/hibiscus-traffic/src/budgets/tokens.rs
@@ -19,22 +19,23 @@
 
 /// Age of an unacknowledged batch from which on the store counts as away, so
 /// that nothing waits for it: it usually acknowledges within 10 ms.
-const STORE_PATIENCE: Duration = Duration::from_millis(600);
+const STORE_ACK_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time since the stream was read to its end after which what is known of a
 /// budget is too old to say that it is spent: a read waits for 1.5 s.
-const PROOF_AGE: Duration = Duration::from_secs(2);
+const STREAM_AGE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Budgets whose levels are logged at a time.
-const SHOWN: usize = 64;
+const LOGGED_BUDGETS_LIMIT: usize = 64;
 /// Time for which tokens that were passed on may come back: a request's
 /// longest time of 15 s, the rest before a return, and its way.
-const RETURN_TIME: Duration = Duration::from_secs(20);
+const TRANSFER_RETURN_TIME: Duration = Duration::from_secs(20);
 
 impl HeldBudget {
     /// Tokens that were passed on and may come back in part.
     pub(super) fn transferred(&self, now: Duration) -> TokenCount {
         let passed = self.transferred.iter();
-        let recent = passed.filter(|(passed, _tokens)| now.saturating_sub(*passed) <= RETURN_TIME);
+        let recent =
+            passed.filter(|(passed, _tokens)| now.saturating_sub(*passed) <= TRANSFER_RETURN_TIME);
         recent.map(|(_passed, tokens)| *tokens).sum()
     }
 }
@@ -55,11 +56,11 @@
             return Err(ReservationError::NotDrawn);
         }
         let held = self.held.entry(budget.clone()).or_default();
-        let hold = held.quota.reserve(tokens, self.clock.now())?;
-        if hold.source == TokenSource::Transferred {
-            held.given_used = now;
+        let reservation = held.quota.reserve(tokens, self.clock.now())?;
+        if reservation.source == TokenSource::Received {
+            held.received_used_at = now;
         }
-        Ok(hold)
+        Ok(reservation)
     }
 
     /// Counts a request that needs `tokens`.
@@ -72,16 +73,16 @@
     pub fn settle(
         &mut self,
         budget: &BudgetName,
-        hold: QuotaReservation,
+        reservation: QuotaReservation,
         charge: TokenCount,
         now: Duration,
     ) {
         let held = self.held.entry(budget.clone()).or_default();
-        if hold.source == TokenSource::Transferred {
-            held.given_used = now;
+        if reservation.source == TokenSource::Received {
+            held.received_used_at = now;
         }
-        held.quota.settle(hold, charge);
-        held.demand.settle(hold.tokens, charge);
+        held.quota.settle(reservation, charge);
+        held.demand.settle(reservation.tokens, charge);
         held.changed.notify_waiters();
     }
 
@@ -93,10 +94,13 @@
         tokens: TokenCount,
         now: Duration,
     ) -> Option<TokenRefusal> {
-        let waiting = self.unacknowledged.map(|since| now.saturating_sub(since));
+        let waiting = self
+            .unacknowledged_since
+            .map(|since| now.saturating_sub(since));
         let held = self.held.get(budget);
-        if waiting.is_some_and(|waiting| waiting > STORE_PATIENCE) {
-            let wait = held.and_then(|held| held.quota.waits_for(tokens, self.clock.now()));
+        if waiting.is_some_and(|waiting| waiting > STORE_ACK_TIMEOUT) {
+            let wait =
+                held.and_then(|held| held.quota.millis_until_available(tokens, self.clock.now()));
             let wait = wait.map(|millis| u32::try_from(millis).unwrap_or(u32::MAX));
             return Some(wait.map_or(TokenRefusal::Unconfirmed, TokenRefusal::Later));
         }
@@ -105,17 +109,18 @@
         }
         let account = self.fold.budget(budget)?;
         let here = held.map_or(TokenCount::ZERO, |held| {
-            held.quota.available() + held.quota.given()
+            held.quota.available() + held.quota.received()
         });
-        let returning = held.map_or(TokenCount::ZERO, |held| self.returning(account, held));
-        let reachable = here + account.free() + returning;
+        let unread_returns =
+            held.map_or(TokenCount::ZERO, |held| self.unread_returns(account, held));
+        let reachable = here + account.free() + unread_returns;
         if tokens <= reachable {
             return None;
         }
         let elsewhere = self.unreported_elsewhere(account);
         let reserved = held.map_or(TokenCount::ZERO, |held| held.quota.reserved());
         let transferred = held.map_or(TokenCount::ZERO, |held| held.transferred(now));
-        let is_fresh = now.saturating_sub(self.heard) <= PROOF_AGE;
+        let is_fresh = now.saturating_sub(self.stream_read_at) <= STREAM_AGE_LIMIT;
         if is_fresh && tokens > reachable + elsewhere + reserved + transferred {
             Some(TokenRefusal::Spent)
         } else {
@@ -125,17 +130,17 @@
 
     /// Tokens that were given back and that the stream, as far as it was read,
     /// does not show as free yet.
-    fn returning(&self, account: &BudgetAccount, held: &HeldBudget) -> TokenCount {
+    fn unread_returns(&self, account: &BudgetAccount, held: &HeldBudget) -> TokenCount {
         let known = account.holders.get(&self.holder);
         let known = known.map_or(TokenCount::ZERO, |known| known.returned);
         held.quota.returned().saturating_sub(known)
     }
 
     /// Takes tokens over that another instance gave.
-    pub fn add_given(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
+    pub fn add_received(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let held = self.held.entry(budget.clone()).or_default();
-        held.quota.add_given(tokens);
-        held.given_used = now;
+        held.quota.add_received(tokens);
+        held.received_used_at = now;
         held.changed.notify_waiters();
     }
 
@@ -149,12 +154,12 @@
 
     /// Ends a reservation whose tokens go to an instance that does not hold the
     /// budget: they count as spent here.
-    pub fn transfer(&mut self, budget: &BudgetName, hold: QuotaReservation, now: Duration) {
-        self.settle(budget, hold, hold.tokens, now);
+    pub fn transfer(&mut self, budget: &BudgetName, reservation: QuotaReservation, now: Duration) {
+        self.settle(budget, reservation, reservation.tokens, now);
         let held = self.held.entry(budget.clone()).or_default();
-        held.transferred.push_back((now, hold.tokens));
+        held.transferred.push_back((now, reservation.tokens));
         while let Some((passed, _tokens)) = held.transferred.front() {
-            if now.saturating_sub(*passed) <= RETURN_TIME {
+            if now.saturating_sub(*passed) <= TRANSFER_RETURN_TIME {
                 break;
             }
             held.transferred.pop_front();
@@ -162,24 +167,24 @@
     }
 
     /// Tokens of `budget` that other instances gave and no request has reserved.
-    pub fn given(&self, budget: &BudgetName) -> TokenCount {
+    pub fn received(&self, budget: &BudgetName) -> TokenCount {
         let held = self.held.get(budget);
-        held.map_or(TokenCount::ZERO, |held| held.quota.given())
+        held.map_or(TokenCount::ZERO, |held| held.quota.received())
     }
 
-    /// Takes out what other instances gave and no request has used for `rest`.
-    pub fn take_idle_given(
+    /// Takes out what other instances gave and no request has used for `idle_time`.
+    pub fn take_idle_received(
         &mut self,
-        rest: Duration,
+        idle_time: Duration,
         now: Duration,
     ) -> Vec<(BudgetName, TokenCount)> {
         let mut idle = Vec::new();
         for (budget, held) in &mut self.held {
-            let rested = now.saturating_sub(held.given_used) >= rest;
-            if !rested || held.quota.given().is_zero() || !held.wanted.is_zero() {
+            let rested = now.saturating_sub(held.received_used_at) >= idle_time;
+            if !rested || held.quota.received().is_zero() || !held.wanted.is_zero() {
                 continue;
             }
-            idle.push((budget.clone(), held.quota.take_given()));
+            idle.push((budget.clone(), held.quota.take_received()));
         }
         idle
     }
@@ -189,7 +194,9 @@
         let account = self.fold.budget(budget);
         let free = account.map(BudgetAccount::free).unwrap_or_default();
         let prepaid = account.map(|account| account.prepaid).unwrap_or_default();
-        let waiting = self.unacknowledged.map(|since| now.saturating_sub(since));
+        let waiting = self
+            .unacknowledged_since
+            .map(|since| now.saturating_sub(since));
         let Some(held) = self.held.get(budget) else {
             return;
         };
@@ -210,7 +217,7 @@
         let budgets = self.fold.budgets().iter();
         for (budget, account) in budgets
             .filter(|(budget, _account)| keeps(budget))
-            .take(SHOWN)
+            .take(LOGGED_BUDGETS_LIMIT)
         {
             let reported: TokenCount = account.holders.values().map(|held| held.spent).sum();
             event!(
@@ -219,7 +226,7 @@
                 account.version,
                 account.prepaid,
                 account.free(),
-                account.held(),
+                account.unreported(),
                 reported,
                 account.closed,
                 account.holders.len()
--- a/crates/hibiscus-traffic/src/clock.rs
+++ b/crates/hibiscus-traffic/src/clock.rs
@@ -27,7 +27,7 @@
 enum ClockSource {
     System,
     /// A time that a simulation sets.
-    Set(Rc<Cell<MachineTime>>),
+    Simulated(Rc<Cell<MachineTime>>),
 }
 
 impl MachineClock {
@@ -49,16 +49,16 @@
     }
 
     /// A clock that shows the time that `now` holds.
-    pub fn set_by(now: Rc<Cell<MachineTime>>) -> Self {
+    pub fn simulated(now: Rc<Cell<MachineTime>>) -> Self {
         Self {
             boot: now.get().boot,
-            source: ClockSource::Set(now),
+            source: ClockSource::Simulated(now),
         }
     }
 
     /// The present time.
     pub fn now(&self) -> MachineTime {
-        if let ClockSource::Set(now) = &self.source {
+        if let ClockSource::Simulated(now) = &self.source {
             return now.get();
         }
         let now = ClockId::CLOCK_MONOTONIC.now().map(Duration::from);
--- a/crates/hibiscus-traffic/src/flight.rs
+++ b/crates/hibiscus-traffic/src/flight.rs
@@ -266,7 +266,7 @@
                 EventCode::RequestCut,
                 "request={} reason={} answer=begun",
                 self.id,
-                reason.word()
+                reason.label()
             );
         }
         event!(
--- a/crates/hibiscus-traffic/src/holders.rs
+++ b/crates/hibiscus-traffic/src/holders.rs
@@ -25,23 +25,23 @@
 /// fleet of no more has no others.
 pub const HOLDERS_PER_BUDGET: usize = 8;
 /// Time for which a holder that had no tokens is asked after the others.
-const REFUSAL_REST: Duration = Duration::from_secs(1);
+const FAILURE_EXPIRY: Duration = Duration::from_secs(1);
 /// Refusals remembered.
-const REFUSALS_KEPT: usize = 1_024;
+const FAILURES_LIMIT: usize = 1_024;
 /// Budgets of one group, which have the same holders, while the groups are few.
-const GROUP_BUDGETS: usize = 64;
+const BUDGETS_PER_GROUP: usize = 64;
 /// Groups at the most, so that an instance asks a bounded number of others
 /// however many budgets there are.
 const GROUPS_LIMIT: usize = 16;
 /// Groups that one of the large machines takes part in at the most, before the
 /// smaller ones take part too.
-const GROUPS_OF_LARGE: usize = 4;
+const GROUPS_PER_LARGE_MACHINE: usize = 4;
 /// Part of the largest capacity from which on a machine is large.
-const LARGE_PART: f64 = 0.5;
+const LARGE_CAPACITY_RATIO: f64 = 0.5;
 
 /// Groups that `budgets` are divided into.
 pub fn group_count(budgets: usize) -> u64 {
-    let groups = budgets.div_ceil(GROUP_BUDGETS).clamp(1, GROUPS_LIMIT);
+    let groups = budgets.div_ceil(BUDGETS_PER_GROUP).clamp(1, GROUPS_LIMIT);
     u64::try_from(groups).unwrap_or(u64::MAX)
 }
 
@@ -78,10 +78,11 @@
 /// The instances that may hold: the large machines, if these are enough.
 fn candidates(groups: u64, answering: Vec<&InstanceEntry>) -> Vec<&InstanceEntry> {
     let largest = answering.iter().map(|entry| entry.capacity).max();
-    let least = f64::from(largest.unwrap_or_default()) * LARGE_PART;
+    let least = f64::from(largest.unwrap_or_default()) * LARGE_CAPACITY_RATIO;
     let is_large = |entry: &&InstanceEntry| f64::from(entry.capacity) >= least;
     let count = answering.iter().filter(|entry| is_large(entry)).count();
-    let places = u64::try_from(count * GROUPS_OF_LARGE / HOLDERS_PER_BUDGET).unwrap_or(u64::MAX);
+    let places =
+        u64::try_from(count * GROUPS_PER_LARGE_MACHINE / HOLDERS_PER_BUDGET).unwrap_or(u64::MAX);
     if count < HOLDERS_PER_BUDGET || places < groups {
         return answering;
     }
@@ -141,12 +142,12 @@
     }
 }
 
-/// Orders `holders` as `asker` asks them: those in its data centre first, and
+/// Orders `holders` as `requester` asks them: those in its data centre first, and
 /// spread evenly over the askers within the two groups.
-pub fn order_for(asker: &InstanceEntry, holders: &mut [&InstanceEntry]) {
-    let own = asker.name.as_str().as_bytes();
+pub fn order_for(requester: &InstanceEntry, holders: &mut [&InstanceEntry]) {
+    let own = requester.name.as_str().as_bytes();
     holders.sort_by_cached_key(|holder| {
-        let remote = holder.data_centre != asker.data_centre;
+        let remote = holder.data_centre != requester.data_centre;
         (remote, stable_hash(&[own, holder.name.as_str().as_bytes()]))
     });
 }
@@ -155,28 +156,28 @@
 #[derive(Clone, Debug, Default)]
 pub struct HolderFailures {
     refused: BTreeMap<(BudgetName, SocketAddr), Duration>,
-    silent: BTreeMap<SocketAddr, Duration>,
+    unresponsive: BTreeMap<SocketAddr, Duration>,
     /// When each of them answered last.
-    answered: BTreeMap<SocketAddr, Duration>,
+    responded: BTreeMap<SocketAddr, Duration>,
 }
 
 impl HolderFailures {
     /// Notes that `holder` had no tokens of `budget` at `now`.
-    pub fn note(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
-        if self.refused.len() >= REFUSALS_KEPT {
+    pub fn note_refusal(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
+        if self.refused.len() >= FAILURES_LIMIT {
             self.refused.retain(|_holder, at| is_recent(*at, now));
         }
-        if self.refused.len() < REFUSALS_KEPT {
+        if self.refused.len() < FAILURES_LIMIT {
             self.refused.insert((budget.clone(), holder), now);
         }
     }
 
     /// Notes that `holder` did not answer at `now`.
     pub fn note_no_response(&mut self, holder: SocketAddr, now: Duration) {
-        if self.silent.len() >= REFUSALS_KEPT {
-            self.silent.retain(|_holder, at| is_recent(*at, now));
+        if self.unresponsive.len() >= FAILURES_LIMIT {
+            self.unresponsive.retain(|_holder, at| is_recent(*at, now));
         }
-        self.silent.insert(holder, now);
+        self.unresponsive.insert(holder, now);
     }
 
     /// Puts the holders that refused lately behind the others.
@@ -192,13 +193,13 @@
     /// not one for each request.
     pub fn choose(&mut self, budget: &BudgetName, holders: &mut Vec<SocketAddr>, now: Duration) {
         holders.retain(|holder| {
-            let silent = self.silent.get(holder);
-            !silent.is_some_and(|at| is_recent(*at, now))
+            let unresponsive = self.unresponsive.get(holder);
+            !unresponsive.is_some_and(|at| is_recent(*at, now))
         });
         for holder in holders.iter() {
             // The next requests ask others until this one's question is over.
-            if let Some(silent) = self.silent.get_mut(holder) {
-                *silent = now;
+            if let Some(unresponsive) = self.unresponsive.get_mut(holder) {
+                *unresponsive = now;
             }
         }
         self.sort(budget, holders, now);
@@ -206,20 +207,20 @@
 
     /// Notes that `holder` answered at `now`.
     pub fn note_response(&mut self, holder: SocketAddr, now: Duration) {
-        self.silent.remove(&holder);
-        if self.answered.len() >= REFUSALS_KEPT {
-            self.answered.retain(|_holder, at| is_recent(*at, now));
+        self.unresponsive.remove(&holder);
+        if self.responded.len() >= FAILURES_LIMIT {
+            self.responded.retain(|_holder, at| is_recent(*at, now));
         }
-        self.answered.insert(holder, now);
+        self.responded.insert(holder, now);
     }
 
     /// Notes that `holder` has not answered a question about `budget` for a
     /// while: it waits for the store, or is silent if it answered no other
     /// question either.
     pub fn note_late_response(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
-        let answered = self.answered.get(&holder);
-        if answered.is_some_and(|at| is_recent(*at, now)) {
-            self.note(budget, holder, now);
+        let responded = self.responded.get(&holder);
+        if responded.is_some_and(|at| is_recent(*at, now)) {
+            self.note_refusal(budget, holder, now);
         } else {
             self.note_no_response(holder, now);
         }
@@ -228,5 +229,5 @@
 
 /// Whether a refusal at `at` still counts at `now`.
 fn is_recent(at: Duration, now: Duration) -> bool {
-    now.saturating_sub(at) < REFUSAL_REST
+    now.saturating_sub(at) < FAILURE_EXPIRY
 }
--- a/crates/hibiscus-traffic/src/life.rs
+++ b/crates/hibiscus-traffic/src/life.rs
@@ -62,7 +62,7 @@
                 EventCode::RequestCut,
                 "request={} reason={} answer=none",
                 self.known.id,
-                reason.word()
+                reason.label()
             );
         }
         event!(
--- a/crates/hibiscus-traffic/src/memory_pressure.rs
+++ b/crates/hibiscus-traffic/src/memory_pressure.rs
@@ -5,17 +5,17 @@
 //! told to go elsewhere while the requests in progress end.
 
 /// Part of the memory from which on kept connections are dropped.
-const TIGHT_PART: f64 = 0.80;
+const TIGHT_RATIO: f64 = 0.80;
 /// Part of the memory from which on callers are refused. The rest is for what
 /// the requests in progress may still take until the next look, and for bytes
 /// that the system counts and the process has not read.
-const FULL_PART: f64 = 0.88;
+const FULL_RATIO: f64 = 0.88;
 /// Part of the memory that use must fall by before a level is left, so that it
 /// is not entered and left by turns.
-const RELIEF_PART: f64 = 0.04;
+const HYSTERESIS_RATIO: f64 = 0.04;
 /// Requests in progress up to which a process whose memory is full takes one
 /// more: freed memory stays with the process, so it may look full for ever.
-pub const FULL_REQUESTS: usize = 4;
+pub const FULL_REQUEST_LIMIT: usize = 4;
 
 /// How much of its memory a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
 impl MemoryPressure {
     /// Whether one more request may begin while `in_progress` have not ended.
     pub fn admits(self, in_progress: usize) -> bool {
-        self < Self::Full || in_progress <= FULL_REQUESTS
+        self < Self::Full || in_progress <= FULL_REQUEST_LIMIT
     }
 }
 
@@ -61,16 +61,16 @@
     pub fn observe(&mut self, used: usize) -> bool {
         let used = used as f64 / self.memory.max(1) as f64;
         let reached = |part: f64, level: MemoryPressure| {
-            let relief = if self.level >= level {
-                RELIEF_PART
+            let hysteresis = if self.level >= level {
+                HYSTERESIS_RATIO
             } else {
                 0.0
             };
-            used >= part - relief
+            used >= part - hysteresis
         };
-        let level = if reached(FULL_PART, MemoryPressure::Full) {
+        let level = if reached(FULL_RATIO, MemoryPressure::Full) {
             MemoryPressure::Full
-        } else if reached(TIGHT_PART, MemoryPressure::Tight) {
+        } else if reached(TIGHT_RATIO, MemoryPressure::Tight) {
             MemoryPressure::Tight
         } else {
             MemoryPressure::Calm
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -30,23 +30,23 @@
 
 /// Instances asked, so that of five readings three may be wrong; each new
 /// connection costs 7 ms of a core.
-const ASKED_LIMIT: usize = 4;
+const PEER_LIMIT: usize = 4;
 /// Time between two looks for accounts of processes that ended elsewhere.
-const STRANGERS_PAUSE: Duration = Duration::from_millis(300);
+const ENDED_PROCESSES_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two rounds of questions: after a power cut of all machines the
 /// others announce themselves within half a second.
-const ROUND_PAUSE: Duration = Duration::from_millis(150);
+const ROUND_INTERVAL: Duration = Duration::from_millis(150);
 /// Time for which more answers than the fewest are waited for.
-const GATHER_TIME: Duration = Duration::from_millis(600);
+const EXTRA_READINGS_TIME: Duration = Duration::from_millis(600);
 /// Time after which too few answers are given up: machines that are not back
 /// by then may never be.
-const GIVE_UP_TIME: Duration = Duration::from_secs(6);
+const GATHER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// OnDemand until the account stream was read, and closes by agreement what was
 /// left without a proof.
 pub async fn close_unproven<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     while state.budgets.recovery() == RecoveryPhase::Reading {
-        tokio::time::sleep(ROUND_PAUSE).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
     if state.budgets.recovery() == RecoveryPhase::Complete {
         return;
@@ -66,7 +66,7 @@
 pub async fn close_ended_processes<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
-        tokio::time::sleep(STRANGERS_PAUSE).await;
+        tokio::time::sleep(ENDED_PROCESSES_CHECK_INTERVAL).await;
         if state.budgets.recovery() == RecoveryPhase::Reading || !state.keeps_accounts() {
             continue;
         }
@@ -127,27 +127,30 @@
 /// clocks of this machine and of others. Each is later than the process before
 /// ended: an answer is made after it was asked for.
 async fn gather_readings<D: RequestDialect>(state: &TrafficState<D>, began: Duration) -> Vec<u64> {
-    let begun = state.now();
-    let own = at_start(UnixMillis::now().get(), begun.saturating_sub(began));
-    let mut answers: BTreeMap<SocketAddr, u64> = BTreeMap::new();
+    let gathering_since = state.now();
+    let own = at_start(
+        UnixMillis::now().get(),
+        gathering_since.saturating_sub(began),
+    );
+    let mut responses: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     loop {
-        ask_others(state, began, &mut answers).await;
-        let waited = state.now().saturating_sub(begun);
-        let enough = answers.len() + 1 >= agreement::MIN_READINGS;
-        let all = answers.len() >= ASKED_LIMIT;
-        if all || (enough && waited >= GATHER_TIME) || waited >= GIVE_UP_TIME {
+        request_readings(state, began, &mut responses).await;
+        let waited = state.now().saturating_sub(gathering_since);
+        let enough = responses.len() + 1 >= agreement::MIN_READINGS;
+        let all = responses.len() >= PEER_LIMIT;
+        if all || (enough && waited >= EXTRA_READINGS_TIME) || waited >= GATHER_TIMEOUT {
             break;
         }
-        tokio::time::sleep(ROUND_PAUSE).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
-    answers.into_values().chain([own]).collect()
+    responses.into_values().chain([own]).collect()
 }
 
 /// Asks the instances that have not answered yet.
-async fn ask_others<D: RequestDialect>(
+async fn request_readings<D: RequestDialect>(
     state: &TrafficState<D>,
     began: Duration,
-    answers: &mut BTreeMap<SocketAddr, u64>,
+    responses: &mut BTreeMap<SocketAddr, u64>,
 ) {
     let Some(link) = state.link.borrow().clone() else {
         return;
@@ -158,12 +161,12 @@
     others.retain(|other| !holders.contains(other));
     fastrand::shuffle(&mut others);
     holders.append(&mut others);
-    holders.retain(|other| !answers.contains_key(other));
-    holders.truncate(ASKED_LIMIT.saturating_sub(answers.len()));
+    holders.retain(|other| !responses.contains_key(other));
+    holders.truncate(PEER_LIMIT.saturating_sub(responses.len()));
     for other in holders {
         let asked = state.now().saturating_sub(began);
         if let Some(reading) = peers::ask_time(&link, other).await {
-            answers.insert(other, at_start(reading, asked));
+            responses.insert(other, at_start(reading, asked));
         }
     }
 }
--- a/crates/hibiscus-traffic/src/shares.rs
+++ b/crates/hibiscus-traffic/src/shares.rs
@@ -10,29 +10,29 @@
 const PROGRAM_BYTES: usize = 16_000_000;
 /// Largest part of the memory that is set aside for the program, so that a
 /// machine of less memory still serves.
-const PROGRAM_PART: f64 = 0.5;
+const PROGRAM_RATIO: f64 = 0.5;
 /// Memory of a caller's connection with a request, in bytes: two buffers of
 /// 8 KiB, its tasks and the kernel's part of what is unread; 16 KiB were
 /// measured for an open stream.
-const CALLER_BYTES: usize = 24 * 1024;
+const CALLER_CONNECTION_BYTES: usize = 24 * 1024;
 /// Memory of a connection to a server, in bytes: two buffers of 8 KiB and its
 /// task.
-const LINK_BYTES: usize = 20 * 1024;
+const SERVER_CONNECTION_BYTES: usize = 20 * 1024;
 /// Part that callers' connections with requests take, the connections to their
 /// servers included.
-const CALLERS_PART: f64 = 0.40;
+const CALLERS_RATIO: f64 = 0.40;
 /// Part that callers' bodies take.
-const BODIES_PART: f64 = 0.15;
+const BODIES_RATIO: f64 = 0.15;
 /// Part that idle connections to servers take.
-const IDLE_PART: f64 = 0.15;
+const IDLE_RATIO: f64 = 0.15;
 /// Part for pages of the store, the link to the other instances, and memory
 /// that was freed and is not used again at once.
-const RESERVE_PART: f64 = 0.30;
+const RESERVE_RATIO: f64 = 0.30;
 /// Part of the descriptors that callers' connections take.
-const CALLER_DESCRIPTORS: f64 = 0.6;
+const CALLER_DESCRIPTOR_RATIO: f64 = 0.6;
 /// Part of the descriptors that idle connections to servers take; the rest is
 /// for servers in use, instances, the store and files.
-const IDLE_DESCRIPTORS: f64 = 0.2;
+const IDLE_DESCRIPTOR_RATIO: f64 = 0.2;
 
 /// The bounds of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,24 +59,29 @@
         };
         Self {
             callers: CallerBounds {
-                connections: bounded(CALLERS_PART, CALLER_BYTES + LINK_BYTES, CALLER_DESCRIPTORS),
-                body_bytes: (left as f64 * BODIES_PART) as usize,
+                connections: bounded(
+                    CALLERS_RATIO,
+                    CALLER_CONNECTION_BYTES + SERVER_CONNECTION_BYTES,
+                    CALLER_DESCRIPTOR_RATIO,
+                ),
+                body_bytes: (left as f64 * BODIES_RATIO) as usize,
             },
-            idle_links: bounded(IDLE_PART, LINK_BYTES, IDLE_DESCRIPTORS),
+            idle_links: bounded(IDLE_RATIO, SERVER_CONNECTION_BYTES, IDLE_DESCRIPTOR_RATIO),
             memory,
-            reserve: (left as f64 * RESERVE_PART) as usize,
+            reserve: (left as f64 * RESERVE_RATIO) as usize,
         }
     }
 
     /// Memory that the process takes when all bounds are reached, in bytes.
-    pub fn most(&self) -> usize {
-        let callers = self.callers.connections * (CALLER_BYTES + LINK_BYTES);
-        let idle = self.idle_links * LINK_BYTES;
+    pub fn max_memory(&self) -> usize {
+        let callers =
+            self.callers.connections * (CALLER_CONNECTION_BYTES + SERVER_CONNECTION_BYTES);
+        let idle = self.idle_links * SERVER_CONNECTION_BYTES;
         program_bytes(self.memory) + callers + self.callers.body_bytes + idle + self.reserve
     }
 }
 
 /// Memory that is set aside for the program, in bytes.
 fn program_bytes(memory: usize) -> usize {
-    PROGRAM_BYTES.min((memory as f64 * PROGRAM_PART) as usize)
+    PROGRAM_BYTES.min((memory as f64 * PROGRAM_RATIO) as usize)
 }
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -460,7 +460,7 @@
             account_lag: self.budgets.unread_records(),
         };
         levels.show();
-        self.tally.show();
+        self.tally.publish();
         if self.pressure.note_levels(&levels, &self.tally) {
             self.budgets
                 .log_budgets(|budget| self.group_holders(&directory, budget).own_rank == Some(0));
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -31,29 +31,29 @@
 
 /// Longest wait for tokens of a budget: a draw takes two store calls, each of
 /// which takes up to 0.25 s while the store is slow.
-const DRAW_WAIT: Duration = Duration::from_millis(600);
+const DRAW_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time that a request waits for the holders that it asks.
-const HOLDERS_WAIT: Duration = Duration::from_millis(900);
+const HOLDERS_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time after which the next holder is asked too: an answer takes a few
 /// milliseconds, and a draw some twenty.
-const NEXT_HOLDER_TIME: Duration = Duration::from_millis(120);
+const NEXT_HOLDER_DELAY: Duration = Duration::from_millis(120);
 /// Time for a holder's answer. One that comes after the request stopped to wait
 /// still brings its tokens, for the next request.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_500);
+const HOLDER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Holders asked for one request: one without the store says at once that it
 /// has too little, and a third of them may be without it.
-const ASKED_HOLDERS: usize = 4;
+const HOLDER_REQUEST_LIMIT: usize = 4;
 /// Time after which tokens that no request used go back to a holder.
-const GIVEN_REST: Duration = Duration::from_millis(400);
+const RECEIVED_TOKENS_RETURN_DELAY: Duration = Duration::from_millis(400);
 
 /// Time that a planned stop waits for tokens to be brought back: what was drawn
 /// must go back after it.
-const STOP_WAIT: Duration = Duration::from_millis(500);
+const SHUTDOWN_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Result of getting tokens.
 pub type Result<T> = std::result::Result<T, TokenRefusal>;
 
-/// Reserves `tokens` of `budget` for a request that waits until `until` at the
+/// Reserves `tokens` of `budget` for a request that waits until `deadline` at the
 /// most.
 ///
 /// # Errors
@@ -63,20 +63,20 @@
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<QuotaReservation> {
     if state.asks_for(budget) {
-        return reserve_given(state, budget, tokens, until).await;
+        return reserve_received(state, budget, tokens, deadline).await;
     }
-    let drawn = reserve_drawn(state, budget, tokens, until).await;
+    let drawn = reserve_drawn(state, budget, tokens, deadline).await;
     let refusal = match drawn {
-        Ok(hold) => return Ok(hold),
+        Ok(reservation) => return Ok(reservation),
         Err(TokenRefusal::Spent) => return Err(TokenRefusal::Spent),
         Err(refusal) => refusal,
     };
     // Another holder may reach the store.
-    let given = reserve_given(state, budget, tokens, until).await;
-    given.map_err(|other| refusal.or_sooner(other))
+    let received = reserve_received(state, budget, tokens, deadline).await;
+    received.map_err(|other| refusal.or_sooner(other))
 }
 
 /// Passes `tokens` on to an instance that does not hold `budget`.
@@ -93,23 +93,26 @@
     if state.budgets.is_closed() || !state.follows_accounts() {
         return Err(TokenRefusal::Unconfirmed);
     }
-    let until = Instant::now() + DRAW_WAIT;
-    let passed = reserve_drawn(state, budget, tokens, until).await;
-    let refusal = passed.as_ref().err();
+    let deadline = Instant::now() + DRAW_TIMEOUT;
+    let reserved = reserve_drawn(state, budget, tokens, deadline).await;
+    let refusal = reserved.as_ref().err();
     event!(
         EventCode::TokensPassedOn,
         "budget={budget} tokens={tokens} refusal={refusal:?}"
     );
-    state.budgets.transfer(budget, passed?);
+    state.budgets.transfer(budget, reserved?);
     Ok(())
 }
 
 /// Sends tokens that no request used for a while back to a holder; a holder
 /// has them in its account then.
 pub fn return_idle<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
-    for (budget, tokens) in state.budgets.take_idle_given(GIVEN_REST) {
+    for (budget, tokens) in state
+        .budgets
+        .take_idle_received(RECEIVED_TOKENS_RETURN_DELAY)
+    {
         if state.asks_for(&budget) {
-            tokio::task::spawn_local(send_back(Rc::clone(state), budget, tokens));
+            tokio::task::spawn_local(return_tokens(Rc::clone(state), budget, tokens));
         } else {
             state.budgets.refund(&budget, tokens);
         }
@@ -120,17 +123,17 @@
 /// and waits for their answers as long as the stop allows.
 pub async fn return_all<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
     let mut returns = JoinSet::new();
-    for (budget, tokens) in state.budgets.take_idle_given(Duration::ZERO) {
-        returns.spawn_local(send_back(Rc::clone(state), budget, tokens));
+    for (budget, tokens) in state.budgets.take_idle_received(Duration::ZERO) {
+        returns.spawn_local(return_tokens(Rc::clone(state), budget, tokens));
     }
     // Tokens whose answers are late may still arrive.
-    let _late = tokio::time::timeout(STOP_WAIT, returns.join_all()).await;
+    let _late = tokio::time::timeout(SHUTDOWN_RETURN_TIMEOUT, returns.join_all()).await;
 }
 
 /// Brings `tokens` back to one holder, which is asked once: an answer may be
 /// lost, and the tokens must not count twice. A holder that refuses has not
 /// taken them.
-async fn send_back<D: RequestDialect>(
+async fn return_tokens<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     budget: BudgetName,
     tokens: TokenCount,
@@ -138,15 +141,15 @@
     let link = state.link.borrow().clone();
     let holder = state.other_holders(&budget).first().copied();
     let (Some(link), Some(holder)) = (link, holder) else {
-        state.budgets.add_given(&budget, tokens);
+        state.budgets.add_received(&budget, tokens);
         return;
     };
-    let question = PeerQuestion::Return {
+    let request = PeerQuestion::Return {
         budget: budget.clone(),
         tokens,
     };
-    match peers::ask(&link, holder, &question, ANSWER_LIMIT).await {
-        Some(PeerAnswer::Refused(_refusal)) => state.budgets.add_given(&budget, tokens),
+    match peers::ask(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await {
+        Some(PeerAnswer::Refused(_refusal)) => state.budgets.add_received(&budget, tokens),
         Some(_returned) => {}
         None => event!(
             EventCode::TokensNotBrought,
@@ -160,17 +163,17 @@
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<QuotaReservation> {
-    let until = until.min(Instant::now() + DRAW_WAIT);
-    if let Ok(hold) = state.budgets.reserve(budget, tokens) {
+    let deadline = deadline.min(Instant::now() + DRAW_TIMEOUT);
+    if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
         state.budgets.count_demand(budget, tokens);
-        return Ok(hold);
+        return Ok(reservation);
     }
-    let want = state.budgets.wait_for(budget, tokens);
+    let waiter = state.budgets.wait_for(budget, tokens);
     state.review_waiting();
     loop {
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let refusal = state.budgets.refusal(budget, tokens);
         let retry_after = refusal.and_then(TokenRefusal::retry_after);
         let wait = match (refusal, retry_after) {
@@ -179,69 +182,69 @@
             (Some(_later), Some(retry_after)) if retry_after < left => retry_after,
             (Some(refusal), _) => return Err(refusal),
         };
-        let changed = tokio::time::timeout(wait, want.changed()).await;
+        let changed = tokio::time::timeout(wait, waiter.changed()).await;
         if changed.is_err() && refusal.is_none() {
             return Err(TokenRefusal::Unconfirmed);
         }
-        if let Ok(hold) = state.budgets.reserve(budget, tokens) {
+        if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
             // One that is refused comes back, and would count twice.
             state.budgets.count_demand(budget, tokens);
-            return Ok(hold);
+            return Ok(reservation);
         }
     }
 }
 
 /// Reserves from what holders give. One after the other is asked, the next one
 /// also when the one before has not answered for a while.
-async fn reserve_given<D: RequestDialect>(
+async fn reserve_received<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<QuotaReservation> {
-    let until = until.min(Instant::now() + HOLDERS_WAIT);
+    let deadline = deadline.min(Instant::now() + HOLDERS_TIMEOUT);
     let mut holders = state.other_holders(budget);
     state
         .refusals
         .borrow_mut()
         .choose(budget, &mut holders, state.now());
-    holders.truncate(ASKED_HOLDERS);
-    let (answers, mut answered) = mpsc::unbounded_channel();
-    let mut asked = 0;
+    holders.truncate(HOLDER_REQUEST_LIMIT);
+    let (responses, mut responded) = mpsc::unbounded_channel();
+    let mut requested = 0;
     let mut open = 0;
     let mut refusal = TokenRefusal::Unconfirmed;
     loop {
-        if let Ok(hold) = state.budgets.reserve(budget, tokens) {
-            return Ok(hold);
+        if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
+            return Ok(reservation);
         }
-        if open == 0 || Instant::now() < until {
-            let missing = tokens.saturating_sub(state.budgets.given(budget));
-            if let Some(holder) = holders.get(asked) {
-                ask_holder(state, *holder, budget, missing, answers.clone());
-                asked += 1;
+        if open == 0 || Instant::now() < deadline {
+            let missing = tokens.saturating_sub(state.budgets.received(budget));
+            if let Some(holder) = holders.get(requested) {
+                request_tokens(state, *holder, budget, missing, responses.clone());
+                requested += 1;
                 open += 1;
             }
         }
         if open == 0 {
             return Err(refusal);
         }
-        let next = if asked < holders.len() {
-            until.min(Instant::now() + NEXT_HOLDER_TIME)
+        let next = if requested < holders.len() {
+            deadline.min(Instant::now() + NEXT_HOLDER_DELAY)
         } else {
-            until
+            deadline
         };
-        match tokio::time::timeout_at(next.into(), answered.recv()).await {
+        match tokio::time::timeout_at(next.into(), responded.recv()).await {
             Ok(Some(Err(TokenRefusal::Spent))) => return Err(TokenRefusal::Spent),
-            Ok(Some(answer)) => {
-                refusal = answer
+            Ok(Some(response)) => {
+                refusal = response
                     .err()
                     .map_or(refusal, |other| refusal.or_sooner(other));
                 open -= 1;
             }
             Ok(None) => return Err(refusal),
-            Err(_late) if Instant::now() >= until => return Err(refusal),
+            Err(_late) if Instant::now() >= deadline => return Err(refusal),
             Err(_late) => {
-                let slow = holders[asked - 1];
+                let slow = holders[requested - 1];
                 let now = state.now();
                 state
                     .refusals
@@ -252,41 +255,44 @@
     }
 }
 
-/// Asks one holder; what it gives can be reserved once `answers` tells so. The
+/// Asks one holder; what it gives can be reserved once `responses` tells so. The
 /// question goes on when the request ends, so that its tokens are not lost.
-fn ask_holder<D: RequestDialect>(
+fn request_tokens<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     holder: SocketAddr,
     budget: &BudgetName,
     tokens: TokenCount,
-    answers: mpsc::UnboundedSender<Result<()>>,
+    responses: mpsc::UnboundedSender<Result<()>>,
 ) {
     let link = state.link.borrow().clone();
     let state = Rc::clone(state);
     let budget = budget.clone();
     tokio::task::spawn_local(async move {
-        let question = PeerQuestion::Reserve {
+        let request = PeerQuestion::Reserve {
             budget: budget.clone(),
             tokens,
         };
-        let answer = match link {
-            Some(link) => peers::ask(&link, holder, &question, ANSWER_LIMIT).await,
+        let response = match link {
+            Some(link) => peers::ask(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await,
             None => None,
         };
         let now = state.now();
-        if answer.is_some() {
+        if response.is_some() {
             state.refusals.borrow_mut().note_response(holder, now);
         }
-        let (outcome, answer) = match answer {
+        let (outcome, response) = match response {
             Some(PeerAnswer::Reserved(tokens)) => {
-                state.budgets.add_given(&budget, tokens);
+                state.budgets.add_received(&budget, tokens);
                 (PeerRequestOutcome::Answered, Ok(()))
             }
             Some(PeerAnswer::Refused(TokenRefusal::Spent)) => {
                 (PeerRequestOutcome::Refused, Err(TokenRefusal::Spent))
             }
             Some(PeerAnswer::Refused(refusal)) => {
-                state.refusals.borrow_mut().note(&budget, holder, now);
+                state
+                    .refusals
+                    .borrow_mut()
+                    .note_refusal(&budget, holder, now);
                 (PeerRequestOutcome::Refused, Err(refusal))
             }
             Some(_other) => (PeerRequestOutcome::Refused, Err(TokenRefusal::Unconfirmed)),
@@ -306,6 +312,6 @@
             .tally
             .count_peer_request(PeerRequestKind::Link, outcome);
         // A request that ended needs no answer.
-        let _ended = answers.send(answer);
+        let _ended = responses.send(response);
     });
 }
--- a/crates/hibiscus-traffic/src/tally.rs
+++ b/crates/hibiscus-traffic/src/tally.rs
@@ -67,7 +67,7 @@
 
 impl CloseReason {
     /// The word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Room => "room",
             Self::SlowHead => "slow_head",
@@ -123,12 +123,12 @@
 
     /// Counts the end of a question to another instance.
     pub fn count_peer_request(&self, subject: PeerRequestKind, outcome: PeerRequestOutcome) {
-        self.questions(subject)[outcome as usize].add();
+        self.peer_request_counts(subject)[outcome as usize].add();
     }
 
     /// Questions about `subject` that ended so.
-    pub fn asked(&self, subject: PeerRequestKind, outcome: PeerRequestOutcome) -> u64 {
-        self.questions(subject)[outcome as usize].get()
+    pub fn peer_requests(&self, subject: PeerRequestKind, outcome: PeerRequestOutcome) -> u64 {
+        self.peer_request_counts(subject)[outcome as usize].get()
     }
 
     /// Counts a caller's connection that this instance closed.
@@ -136,7 +136,7 @@
         self.closes[reason as usize].add();
     }
 
-    fn questions(&self, subject: PeerRequestKind) -> &[EventCount; 3] {
+    fn peer_request_counts(&self, subject: PeerRequestKind) -> &[EventCount; 3] {
         match subject {
             PeerRequestKind::Readiness => &self.readiness,
             PeerRequestKind::Link => &self.link,
@@ -144,7 +144,7 @@
     }
 
     /// Shows the counts on the metrics' address.
-    pub fn show(&self) {
+    pub fn publish(&self) {
         counter!("hibiscus_account_records_total").absolute(self.records.get());
         counter!("hibiscus_budget_reviews_total").absolute(self.reviews.get());
         for (verdict, count) in ["whole", "part", "nothing"].into_iter().zip(&self.draws) {
@@ -170,7 +170,7 @@
             CloseReason::Stopping,
         ];
         for reason in reasons {
-            counter!("hibiscus_caller_connections_closed_total", "reason" => reason.word())
+            counter!("hibiscus_caller_connections_closed_total", "reason" => reason.label())
                 .absolute(self.closes[reason as usize].get());
         }
     }
--- a/crates/hibiscus-traffic/src/usage_log.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -28,7 +28,7 @@
 /// Lateness below which the next rise is told again, in seconds.
 const LATE_LOW: f64 = 0.05;
 /// Looks at the levels for one line of them.
-const LOOKS_A_LINE: u32 = 3;
+const CHECKS_PER_LINE: u32 = 3;
 
 /// Follows what the process uses of its machine.
 #[derive(Debug)]
@@ -37,8 +37,8 @@
     memory: RefCell<LevelWatch>,
     lateness: RefCell<LevelWatch>,
     /// Worst lateness since the last line of levels.
-    latest: Cell<Duration>,
-    looks: Cell<u32>,
+    max_lateness: Cell<Duration>,
+    checks: Cell<u32>,
 }
 
 impl UsageLogger {
@@ -48,14 +48,14 @@
             limits,
             memory: RefCell::new(LevelWatch::new(MEMORY_HIGH, MEMORY_LOW)),
             lateness: RefCell::new(LevelWatch::new(LATE_HIGH, LATE_LOW)),
-            latest: Cell::default(),
-            looks: Cell::default(),
+            max_lateness: Cell::default(),
+            checks: Cell::default(),
         }
     }
 
     /// The timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
-        self.latest.set(self.latest.get().max(delay));
+        self.max_lateness.set(self.max_lateness.get().max(delay));
         if self.lateness.borrow_mut().rises(delay.as_secs_f64()) {
             event!(EventCode::ThreadLate, "late_ms={}", delay.as_millis());
         }
@@ -79,24 +79,24 @@
                 levels.account_lag
             );
         }
-        self.looks.set(self.looks.get() + 1);
-        let is_due = self.looks.get() >= LOOKS_A_LINE;
+        self.checks.set(self.checks.get() + 1);
+        let is_due = self.checks.get() >= CHECKS_PER_LINE;
         if is_due {
-            self.looks.set(0);
-            self.tell(levels, tally);
+            self.checks.set(0);
+            self.log_levels(levels, tally);
         }
         is_due
     }
 
-    fn tell(&self, levels: &TrafficLevels, tally: &WorkTally) {
-        let readiness = |outcome| tally.asked(PeerRequestKind::Readiness, outcome);
-        let link = |outcome| tally.asked(PeerRequestKind::Link, outcome);
+    fn log_levels(&self, levels: &TrafficLevels, tally: &WorkTally) {
+        let readiness = |outcome| tally.peer_requests(PeerRequestKind::Readiness, outcome);
+        let link = |outcome| tally.peer_requests(PeerRequestKind::Link, outcome);
         event!(
             EventCode::LevelsShown,
             "resident_bytes={} processor_ms={} late_ms={} caller_connections={} requests={} idle_links={} instances={} accounts={} account_lag={} records={} reviews={} draws={}/{}/{} readiness={}/{}/{} link={}/{}/{} asked={}/{} retries_left={:.1}",
             levels.used.resident_bytes,
             levels.used.processor.as_millis(),
-            self.latest.take().as_millis(),
+            self.max_lateness.take().as_millis(),
             levels.connections,
             levels.in_progress,
             levels.idle_links,
--- a/crates/hibiscus-traffic/tests/holders.rs
+++ b/crates/hibiscus-traffic/tests/holders.rs
@@ -55,11 +55,11 @@
 #[test]
 fn an_instance_asks_a_bounded_number_of_others_however_many_budgets_there_are() {
     let fleet = fleet(810);
-    for asker in fleet.iter().step_by(200) {
+    for requester in fleet.iter().step_by(200) {
         let mut asked = BTreeSet::new();
         for number in 0..200 {
             let mut holders = holders_in(&fleet, 130_000, number);
-            holders::order_for(asker, &mut holders);
+            holders::order_for(requester, &mut holders);
             asked.insert(holders[0].name.clone());
         }
         assert!(asked.len() <= 16, "{}", asked.len());
@@ -114,12 +114,12 @@
 #[test]
 fn an_instance_asks_one_other_first_for_all_budgets_of_a_deployment() {
     let fleet = fleet(195);
-    for asker in fleet.iter().step_by(20) {
+    for requester in fleet.iter().step_by(20) {
         let mut asked = BTreeSet::new();
         for number in 0..40 {
             let mut holders = holders_in(&fleet, 40, number);
-            holders.retain(|holder| holder.name != asker.name);
-            holders::order_for(asker, &mut holders);
+            holders.retain(|holder| holder.name != requester.name);
+            holders::order_for(requester, &mut holders);
             asked.insert(holders[0].name.clone());
         }
         assert_eq!(asked.len(), 1);
@@ -131,21 +131,21 @@
 #[test]
 fn a_silent_holder_is_asked_by_one_request_a_second() {
     let addresses: Vec<SocketAddr> = fleet(3).iter().map(|entry| entry.peers).collect();
-    let mut refusals = HolderFailures::default();
-    refusals.note_no_response(addresses[0], Duration::ZERO);
+    let mut failures = HolderFailures::default();
+    failures.note_no_response(addresses[0], Duration::ZERO);
     let mut asked = Vec::new();
     for tick in 0..300 {
         let now = Duration::from_millis(tick * 10);
         let mut holders = addresses.clone();
-        refusals.choose(&budget(1), &mut holders, now);
+        failures.choose(&budget(1), &mut holders, now);
         if holders.contains(&addresses[0]) {
             asked.push(tick * 10);
         }
     }
     assert_eq!(asked, [1_000, 2_000]);
-    refusals.note_response(addresses[0], Duration::from_secs(3));
+    failures.note_response(addresses[0], Duration::from_secs(3));
     let mut holders = addresses.clone();
-    refusals.choose(&budget(1), &mut holders, Duration::from_secs(3));
+    failures.choose(&budget(1), &mut holders, Duration::from_secs(3));
     assert_eq!(holders, addresses);
 }
 
@@ -154,13 +154,13 @@
 #[test]
 fn a_holder_that_answers_others_slowly_is_asked_last_and_not_left_out() {
     let addresses: Vec<SocketAddr> = fleet(3).iter().map(|entry| entry.peers).collect();
-    let mut refusals = HolderFailures::default();
+    let mut failures = HolderFailures::default();
     let now = Duration::from_secs(5);
-    refusals.note_response(addresses[0], now - Duration::from_millis(500));
-    refusals.note_late_response(&budget(1), addresses[0], now);
-    refusals.note_late_response(&budget(1), addresses[1], now);
+    failures.note_response(addresses[0], now - Duration::from_millis(500));
+    failures.note_late_response(&budget(1), addresses[0], now);
+    failures.note_late_response(&budget(1), addresses[1], now);
     let mut holders = addresses.clone();
-    refusals.choose(&budget(1), &mut holders, now);
+    failures.choose(&budget(1), &mut holders, now);
     assert_eq!(holders, [addresses[2], addresses[0]]);
 }
 
@@ -169,12 +169,12 @@
 #[test]
 fn a_holder_that_had_no_tokens_is_asked_after_the_others_for_a_while() {
     let addresses: Vec<SocketAddr> = fleet(4).iter().map(|entry| entry.peers).collect();
-    let mut refusals = HolderFailures::default();
+    let mut failures = HolderFailures::default();
     let begun = Duration::from_secs(10);
-    refusals.note(&budget(1), addresses[0], begun);
+    failures.note_refusal(&budget(1), addresses[0], begun);
     let sorted = |number: usize, now: Duration| {
         let mut holders = addresses.clone();
-        refusals.sort(&budget(number), &mut holders, now);
+        failures.sort(&budget(number), &mut holders, now);
         holders
     };
     let rotated = [addresses[1], addresses[2], addresses[3], addresses[0]];
@@ -184,26 +184,27 @@
 }
 
 /// The desks of a fleet that share one store.
-struct DeskFleet {
-    desks: Vec<(InstanceEntry, BudgetManager, Receiver<AccountBatch>)>,
+struct ManagerFleet {
+    managers: Vec<(InstanceEntry, BudgetManager, Receiver<AccountBatch>)>,
     fold: AccountFold,
     /// Draws and reports; totals are written once a configuration.
     records: usize,
 }
 
-impl DeskFleet {
+impl ManagerFleet {
     fn start(size: usize) -> Self {
-        let mut desks = Vec::new();
+        let mut managers = Vec::new();
         for entry in fleet(size) {
             let (outbox, batches) = mpsc::sync_channel(16);
             let clock = MachineClock::of_this_boot();
-            let mut desk = BudgetManager::new(entry.incarnation, entry.name.clone(), clock, outbox);
-            desk.set_totals(&config(BUDGETS, PREPAID));
-            desk.recover();
-            desks.push((entry, desk, batches));
+            let mut manager =
+                BudgetManager::new(entry.incarnation, entry.name.clone(), clock, outbox);
+            manager.set_totals(&config(BUDGETS, PREPAID));
+            manager.recover();
+            managers.push((entry, manager, batches));
         }
         Self {
-            desks,
+            managers,
             fold: AccountFold::default(),
             records: 0,
         }
@@ -212,12 +213,12 @@
     /// All instances review, and the store takes what they send.
     fn step(&mut self, now: Duration) {
         let entries: Vec<InstanceEntry> = self
-            .desks
+            .managers
             .iter()
             .map(|(entry, _desk, _batches)| entry.clone())
             .collect();
         let mut sent = Vec::new();
-        for (entry, desk, batches) in &mut self.desks {
+        for (entry, manager, batches) in &mut self.managers {
             let role_of = |budget: &BudgetName| {
                 let groups = holders::group_count(BUDGETS);
                 let group = holders::group_of(budget, groups);
@@ -233,9 +234,9 @@
                     writes_snapshots: holders[0].name == entry.name,
                 }
             };
-            desk.review(role_of, now);
+            manager.review(role_of, now);
             for batch in batches.try_iter() {
-                desk.acknowledge(batch.number, None, now);
+                manager.acknowledge(batch.number, None, now);
                 sent.push(batch.records);
             }
         }
@@ -245,8 +246,8 @@
             self.records += records.len() - records.iter().filter(totals).count();
             self.fold.apply(offset, &records);
             let record = codec::encode(&records).expect("records are encoded");
-            for (_entry, desk, _batches) in &mut self.desks {
-                desk.apply(offset, &record, now);
+            for (_entry, manager, _batches) in &mut self.managers {
+                manager.apply(offset, &record, now);
             }
         }
     }
@@ -257,7 +258,7 @@
 /// serve a request (issue 17).
 #[test]
 fn the_accounts_of_a_large_fleet_do_not_grow_with_its_instances() {
-    let mut fleet = DeskFleet::start(62);
+    let mut fleet = ManagerFleet::start(62);
     for tick in 0..6 {
         fleet.step(Duration::from_millis(tick * 250));
     }
--- a/crates/hibiscus-traffic/tests/memory_pressure.rs
+++ b/crates/hibiscus-traffic/tests/memory_pressure.rs
@@ -1,6 +1,6 @@
 //! What a process does as its memory runs out.
 
-use hibiscus_traffic::memory_pressure::FULL_REQUESTS;
+use hibiscus_traffic::memory_pressure::FULL_REQUEST_LIMIT;
 use hibiscus_traffic::memory_pressure::MemoryPressure;
 use hibiscus_traffic::memory_pressure::PressureGauge;
 
@@ -21,7 +21,7 @@
     assert!(gauge.level().admits(10_000));
     assert!(gauge.observe(percent(95)));
     assert_eq!(gauge.level(), MemoryPressure::Full);
-    assert!(!gauge.level().admits(FULL_REQUESTS + 1));
+    assert!(!gauge.level().admits(FULL_REQUEST_LIMIT + 1));
 }
 
 // Guards against refusing callers while memory can be had by dropping what is
@@ -65,5 +65,5 @@
     let mut gauge = PressureGauge::new(MEMORY);
     gauge.observe(percent(97));
     assert!(gauge.level().admits(1));
-    assert!(gauge.level().admits(FULL_REQUESTS));
+    assert!(gauge.level().admits(FULL_REQUEST_LIMIT));
 }
--- a/crates/hibiscus-traffic/tests/power_cut.rs
+++ b/crates/hibiscus-traffic/tests/power_cut.rs
@@ -85,7 +85,7 @@
 /// A request that has its tokens.
 struct RunningRequest {
     budget: usize,
-    hold: QuotaReservation,
+    reservation: QuotaReservation,
     uses: u64,
     ends: u64,
 }
@@ -93,7 +93,7 @@
 /// One holder's process.
 struct SimHolder {
     entry: InstanceEntry,
-    desk: BudgetManager,
+    manager: BudgetManager,
     batches: Receiver<AccountBatch>,
     clock: Rc<Cell<MachineTime>>,
     /// Batch at the store, and when it answers.
@@ -105,7 +105,7 @@
     waiting: Vec<WaitingRequest>,
     running: Vec<RunningRequest>,
     /// Askers that have a connection.
-    askers: Vec<bool>,
+    requesters: Vec<bool>,
     /// When it has made the handshakes that it was asked for.
     free_at: u64,
     recovers_at: Option<u64>,
@@ -212,20 +212,20 @@
             let holder = IncarnationId::from_u128(self.processes);
             let clock = Rc::new(Cell::new(MachineTime::default()));
             let (outbox, batches) = mpsc::sync_channel(64);
-            let source = MachineClock::set_by(Rc::clone(&clock));
-            let mut desk = BudgetManager::new(holder, entry.name.clone(), source, outbox);
+            let source = MachineClock::simulated(Rc::clone(&clock));
+            let mut manager = BudgetManager::new(holder, entry.name.clone(), source, outbox);
             let mut totals = config(BUDGETS, 0);
             for (team, prepaid) in totals.teams.iter_mut().zip(&self.prepaid) {
                 std::sync::Arc::make_mut(team).prepaid = Some(TokenCount::new(*prepaid));
             }
-            desk.set_totals(&totals);
-            let askers = vec![false; self.instances.len()];
+            manager.set_totals(&totals);
+            let requesters = vec![false; self.instances.len()];
             let ready = self.now + START_MS;
             let reading = (0..).zip(&self.stream);
             let reading = reading.map(|(offset, record)| (ready, offset, record.clone()));
             self.holders.push(SimHolder {
                 entry,
-                desk,
+                manager,
                 batches,
                 clock,
                 appending: None,
@@ -233,7 +233,7 @@
                 arriving: VecDeque::new(),
                 waiting: Vec::new(),
                 running: Vec::new(),
-                askers,
+                requesters,
                 free_at: ready,
                 recovers_at: Some(ready + STEP_MS),
             });
@@ -241,7 +241,7 @@
         self.back_since = self.now;
         self.set_clocks();
         for holder in &mut self.holders {
-            holder.desk.set_start_time();
+            holder.manager.set_start_time();
         }
     }
 
@@ -256,8 +256,8 @@
             for request in holder.running {
                 // The server has read the prompt; some of the answer came.
                 let used = self.random.u64(request.uses / 2..=request.uses);
-                self.result.in_progress += request.hold.tokens.get() - used;
-                self.use_tokens(request.budget, holder.desk.process_start().0, used);
+                self.result.in_progress += request.reservation.tokens.get() - used;
+                self.use_tokens(request.budget, holder.manager.process_start().0, used);
             }
         }
     }
@@ -334,8 +334,8 @@
             number += 1;
         }
         let (tokens, uses) = request_tokens(&mut self.random);
-        let asker = self.random.usize(..self.instances.len());
-        let entry = &self.instances[asker];
+        let requester = self.random.usize(..self.instances.len());
+        let entry = &self.instances[requester];
         let own = self
             .holders
             .iter()
@@ -367,7 +367,7 @@
             return;
         };
         let mut arrives = self.now + hop;
-        if hop > 0 && !std::mem::replace(&mut holder.askers[asker], true) {
+        if hop > 0 && !std::mem::replace(&mut holder.requesters[requester], true) {
             holder.free_at = holder.free_at.max(self.now) + HANDSHAKE_MS;
             arrives = holder.free_at;
         }
@@ -393,16 +393,16 @@
                 .is_some_and(|(at, _, _)| *at <= self.now)
             {
                 let (_at, offset, record) = holder.reading.pop_front().expect("a record");
-                holder.desk.apply(offset, &record, millis);
-                holder.desk.set_stream_end(offset + 1, millis);
+                holder.manager.apply(offset, &record, millis);
+                holder.manager.set_stream_end(offset + 1, millis);
             }
             if holder.recovers_at.is_some_and(|at| at <= self.now) {
                 holder.recovers_at = None;
-                holder.desk.recover();
+                holder.manager.recover();
                 let began = holder.clock.get().unix_millis - (self.now - self.back_since);
                 let readings = [began, began + 20, began + 5, began + 12];
                 holder
-                    .desk
+                    .manager
                     .close_unproven(agreement::agreed_upper_bound(&readings));
             }
             let is_ready = holder.recovers_at.is_none();
@@ -426,15 +426,15 @@
             for mut request in std::mem::take(&mut holder.waiting) {
                 let name = budget(request.budget);
                 let tokens = TokenCount::new(request.tokens);
-                if let Ok(hold) = holder.desk.reserve(&name, tokens, millis) {
-                    holder.desk.count_demand(&name, tokens, millis);
+                if let Ok(reservation) = holder.manager.reserve(&name, tokens, millis) {
+                    holder.manager.count_demand(&name, tokens, millis);
                     if request.wanted {
-                        holder.desk.remove_waiter(&name, tokens);
+                        holder.manager.remove_waiter(&name, tokens);
                     }
                     self.result.served += 1;
                     holder.running.push(RunningRequest {
                         budget: request.budget,
-                        hold,
+                        reservation,
                         uses: request.uses,
                         ends: self.now + RUN_MS,
                     });
@@ -442,11 +442,11 @@
                 }
                 if !request.wanted {
                     request.wanted = true;
-                    let _changed = holder.desk.add_waiter(&name, tokens);
+                    let _changed = holder.manager.add_waiter(&name, tokens);
                 }
-                let refused = holder.desk.refusal(&name, tokens, millis).is_some();
+                let refused = holder.manager.refusal(&name, tokens, millis).is_some();
                 if refused || self.now >= request.since + WAIT_MS + START_MS {
-                    holder.desk.remove_waiter(&name, tokens);
+                    holder.manager.remove_waiter(&name, tokens);
                     self.result.refused += 1;
                     let free = self.fold.budget(&name).map(|known| known.free().get());
                     let is_back = self.now >= self.back_since + BACK_MS;
@@ -458,9 +458,9 @@
             }
             holder.waiting = kept;
             if ticks && is_ready {
-                holder.desk.review(role, millis);
+                holder.manager.review(role, millis);
             } else if is_ready {
-                holder.desk.review_waiting(role, millis);
+                holder.manager.review_waiting(role, millis);
             }
             if holder.appending.is_none()
                 && let Ok(mut batch) = holder.batches.try_recv()
@@ -477,7 +477,7 @@
             self.append(&batch.records);
             let end = self.stream.len() as u64;
             let holder = &mut self.holders[number];
-            holder.desk.acknowledge(batch.number, Some(end), millis);
+            holder.manager.acknowledge(batch.number, Some(end), millis);
         }
         self.end_requests(millis);
     }
@@ -493,10 +493,10 @@
             ended.extend(over.into_iter().map(|request| (number, request)));
         }
         for (number, request) in ended {
-            let desk = &mut self.holders[number].desk;
+            let manager = &mut self.holders[number].manager;
             let uses = TokenCount::new(request.uses);
-            desk.settle(&budget(request.budget), request.hold, uses, now);
-            let holder = desk.process_start().0;
+            manager.settle(&budget(request.budget), request.reservation, uses, now);
+            let holder = manager.process_start().0;
             self.use_tokens(request.budget, holder, request.uses);
         }
     }
--- a/crates/hibiscus-traffic/tests/shares.rs
+++ b/crates/hibiscus-traffic/tests/shares.rs
@@ -16,7 +16,11 @@
 fn all_bounds_together_stay_below_the_machines_memory() {
     for (memory, descriptors) in MACHINES {
         let bounds = MemoryShares::of_machine(memory, descriptors);
-        assert!(bounds.most() <= memory, "{bounds:?} take {}", bounds.most());
+        assert!(
+            bounds.max_memory() <= memory,
+            "{bounds:?} take {}",
+            bounds.max_memory()
+        );
         assert!(bounds.reserve as f64 >= memory as f64 * LEAST_RESERVE);
     }
 }
@@ -36,7 +40,7 @@
 #[test]
 fn a_machine_of_little_memory_still_serves() {
     let bounds = MemoryShares::of_machine(20_000_000, 1_024);
-    assert!(bounds.most() <= 20_000_000);
+    assert!(bounds.max_memory() <= 20_000_000);
     assert!(bounds.callers.connections > 50);
     assert!(bounds.callers.body_bytes > 1_000_000);
 }
