--- a/crates/hibiscus-ledger/src/account.rs
+++ b/crates/hibiscus-ledger/src/account.rs
@@ -1,23 +1,22 @@
-//! Prepaid totals drawn by instances that keep nothing.
+//! Accounts of prepaid token budgets, kept as a stream of records.
 //!
-//! Each incarnation has one account a budget: what it drew, what it gave back
-//! and what it reported as spent, each report with a number that grows, so
-//! copies and late appends of a record change nothing. The rule of conservation is that
-//! over all accounts of a budget, what counts for them never exceeds what is
-//! prepaid.
+//! Each incarnation of an instance has one account for each budget: the tokens
+//! that it drew, returned and reported as spent. Each report carries a serial
+//! number, so copies and late appends of a record change nothing. The invariant
+//! is that the tokens counted over all accounts of a budget never exceed its
+//! prepaid total.
 //!
-//! An incarnation that ends without giving back cannot say what it spent
-//! last. Its reports therefore carry a [`limit::SpendingLimit`]: a line over the
-//! machine's steady clock that its spending stays below. The next process on
-//! the same machine reads that clock, and closes the account with what was
-//! spent at the most ([`AccountRecord::Close`]); the rest is free again. A
-//! machine that was booted anew has lost that clock; then a time that several
-//! machines agree on takes its place ([`agreement`]). A machine that never
-//! comes back proves nothing, and all that it had drawn stays counted as
-//! spent.
+//! An incarnation that crashes cannot report what it spent last. Its reports
+//! therefore carry a [`limit::SpendingLimit`], an upper bound on its spending
+//! that grows with the machine's monotonic clock. The next process on the same
+//! machine reads that clock and closes the account with the most that can have
+//! been spent ([`AccountRecord::Close`]); the rest becomes free again. A reboot
+//! resets the monotonic clock; the account is then closed by a time that
+//! several machines agree on ([`agreement`]). If the machine never comes back,
+//! nothing is proven and all tokens that it had drawn stay counted as spent.
 //!
-//! [`AccountFold`] is the state that all readers of the stream share,
-//! [`quota::LocalQuota`] what one holder may still spend.
+//! [`AccountFold`] is the state that every reader of the stream computes.
+//! [`quota::LocalQuota`] is what one holder may still spend.
 
 pub mod agreement;
 pub mod batch;
@@ -42,56 +41,56 @@
 use crate::account::limit::MachineTime;
 use crate::account::limit::SpendingLimit;
 
-/// The stream of account records. Its name tells the format of the records: a
-/// release that changes the format takes another name.
+/// Name of the stream of account records. It includes the version of the record
+/// format: a release that changes the format uses another name.
 pub const STREAM: &str = "accounts-2";
-/// Closed holders that are remembered: a late append comes within seconds,
-/// and incarnations are ordered by time, so the oldest are forgotten first
-/// within a budget.
+/// Closed holders that are remembered. Late appends arrive within seconds, and
+/// incarnations are ordered by time, so the oldest ones of a budget are dropped
+/// first.
 const CLOSED_HOLDERS_LIMIT: usize = 100_000;
 
-/// One proposal.
+/// A record of the account stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AccountRecord {
-    /// A configuration set the total of a budget.
+    /// Sets the total of a budget, as a configuration states it.
     Prepaid {
         /// The budget.
         budget: BudgetName,
         /// Version of the configuration; an older one changes nothing.
         version: u64,
-        /// The total, spent tokens included.
+        /// The total, including tokens already spent.
         tokens: TokenCount,
     },
-    /// A holder asks for tokens.
+    /// Requests tokens for a holder.
     Draw {
         /// The budget.
         budget: BudgetName,
-        /// The incarnation that asks.
+        /// The incarnation that draws.
         holder: IncarnationId,
-        /// Its machine.
+        /// Machine of the incarnation.
         machine: InstanceName,
-        /// Grows by one a draw of this holder and budget.
+        /// Increases by one with each draw of this holder and budget.
         serial: u64,
-        /// Tokens asked for; the fold grants what is free of them.
+        /// Requested tokens; the fold grants as many of them as are free.
         tokens: TokenCount,
     },
-    /// A holder says what it spent, gives back, and may spend until it
-    /// reports again.
+    /// Reports what a holder spent and returned, and limits what it may spend
+    /// until its next report.
     Report(HolderReport),
-    /// The next process on a holder's machine says what the ended holder
-    /// spent at the most.
+    /// Closes the account of a holder that ended; the next process on its
+    /// machine writes it.
     Close {
         /// The budget.
         budget: BudgetName,
         /// The incarnation that ended.
         holder: IncarnationId,
-        /// The most that it spent.
+        /// The most that the holder can have spent.
         spent: TokenCount,
     },
 }
 
 impl AccountRecord {
-    /// The budget that it is about.
+    /// The budget of this record.
     pub fn budget(&self) -> &BudgetName {
         match self {
             Self::Prepaid { budget, .. }
@@ -102,70 +101,72 @@
     }
 }
 
-/// What one holder reports of one budget.
+/// A holder's report on one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderReport {
     /// The budget.
     pub budget: BudgetName,
     /// The incarnation that reports.
     pub holder: IncarnationId,
-    /// Grows by one a report; an older one changes nothing.
+    /// Increases by one with each report; an older report changes nothing.
     pub serial: u64,
-    /// Tokens spent so far, without those that were passed on and came back.
+    /// Tokens spent so far, excluding those that were transferred and came
+    /// back.
     pub spent: TokenCount,
-    /// Sum of all tokens given back so far.
+    /// Sum of all tokens returned so far.
     pub returned: TokenCount,
-    /// The line that its spending stays below.
+    /// Upper bound on the holder's spending until its next report.
     pub limit: SpendingLimit,
-    /// Time of day that had passed when the line was made, as far as the
-    /// holder can prove it; in milliseconds since the Unix epoch.
+    /// A time of day that had provably passed when the limit was created, in
+    /// milliseconds since the Unix epoch.
     pub created_after: Option<u64>,
-    /// Tokens a second that its requests ask for.
+    /// Demand of the holder's requests, in tokens per second.
     pub demand: u64,
-    /// Tokens that it counts as spent and lately passed on to instances that
-    /// hold none: what their requests leave comes back.
+    /// Tokens counted as spent that were recently transferred to instances that
+    /// do not hold the budget; what their requests leave unused comes back.
     pub transferred: TokenCount,
 }
 
-/// A draw that the fold decided.
+/// Result of a draw.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrawResult {
     /// The budget.
     pub budget: BudgetName,
-    /// The incarnation that asked.
+    /// The incarnation that drew.
     pub holder: IncarnationId,
-    /// Number of the draw.
+    /// Serial number of the draw.
     pub serial: u64,
-    /// Tokens granted, possibly none.
+    /// Granted tokens, possibly none.
     pub granted: TokenCount,
 }
 
-/// One incarnation's account of one budget.
+/// Account of one incarnation for one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderAccount {
-    /// The machine that it runs on.
+    /// Machine of the incarnation.
     pub machine: InstanceName,
-    /// Number of the last draw.
+    /// Serial number of the last draw.
     pub serial: u64,
-    /// Sum of the tokens granted.
+    /// Sum of the granted tokens.
     pub drawn: TokenCount,
     /// Sum of the tokens reported as spent.
     pub spent: TokenCount,
-    /// Sum of the tokens given back.
+    /// Sum of the returned tokens.
     pub returned: TokenCount,
-    /// Its last report, once it made one.
+    /// The last report, if there was one.
     pub report: Option<HolderReport>,
 }
 
 impl HolderAccount {
-    /// Tokens that count against the budget for this holder.
+    /// Tokens of this holder that count against the budget.
     pub fn counted(&self) -> TokenCount {
         self.drawn.saturating_sub(self.returned)
     }
 
-    /// The most that the holder spent, by the clock of its machine at `now`;
-    /// `None` when that clock proves nothing. A holder without a report has
-    /// spent nothing: it must have one in the store before its first request.
+    /// The most that the holder can have spent according to its machine's clock
+    /// at `now`; `None` if that clock proves nothing. A holder without a report
+    /// has spent nothing, because its first report is stored before its first
+    /// request.
     pub fn spent_by_clock(&self, now: MachineTime) -> Option<TokenCount> {
         let Some(report) = &self.report else {
             return Some(TokenCount::ZERO);
@@ -174,9 +175,9 @@
         Some(limit.min(self.counted()))
     }
 
-    /// The most that the holder spent, if it had ended before the time of day
-    /// `closed_holders` that several machines agree on, in milliseconds since the Unix
-    /// epoch. Without such a time all that counts.
+    /// The most that the holder can have spent if it ended before the time of
+    /// day `ended_before`, in milliseconds since the Unix epoch, on which
+    /// several machines agree. Without such a time, all counted tokens.
     pub fn spent_by_agreement(&self, ended_before: Option<u64>) -> TokenCount {
         let counted = self.counted();
         let Some(report) = &self.report else {
@@ -196,8 +197,8 @@
         self.counted().saturating_sub(self.spent)
     }
 
-    /// Tokens that may still be free again: what the holder has not reported
-    /// as spent, and what it passed on.
+    /// Tokens that may become free again: those not reported as spent and those
+    /// that the holder transferred.
     pub fn unsettled(&self) -> TokenCount {
         let report = self.report.as_ref();
         let transferred = report.map_or(TokenCount::ZERO, |report| report.transferred);
@@ -205,21 +206,21 @@
     }
 }
 
-/// One budget as all readers see it.
+/// State of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetAccount {
     /// Version of the configuration that set the total.
     pub version: u64,
-    /// The total.
+    /// The prepaid total.
     pub prepaid: TokenCount,
-    /// Drawn minus given back, over all holders.
+    /// Tokens drawn minus tokens returned, over all holders.
     pub counted: TokenCount,
-    /// The holders that may still spend.
+    /// Accounts of the holders that may still spend.
     pub holders: BTreeMap<IncarnationId, HolderAccount>,
-    /// Sum of what closed holders spent.
+    /// Sum of the tokens spent by closed holders.
     pub closed: TokenCount,
-    /// Offset of the first record that is not contained in a snapshot that
-    /// this account began with.
+    /// Offset of the first record that applies. Earlier records are contained
+    /// in the snapshot from which this account was restored.
     first_offset: u64,
 }
 
@@ -234,22 +235,22 @@
         self.holders.values().map(HolderAccount::unreported).sum()
     }
 
-    /// Tokens a second that the requests of all holders but `holder` ask for.
+    /// Demand of all holders except `holder`, in tokens per second.
     pub fn demand_of_others(&self, holder: IncarnationId) -> u64 {
-        let others = self.holders.iter().filter(|(id, _held)| **id != holder);
+        let others = self.holders.iter().filter(|(id, _account)| **id != holder);
         let reports = others.filter_map(|(_id, holder_account)| holder_account.report.as_ref());
         reports.map(|report| report.demand).sum()
     }
 }
 
-/// All budgets at one offset of the stream.
+/// State of all budgets at one offset of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountFold {
     next: u64,
     budgets: BTreeMap<BudgetName, BudgetAccount>,
-    /// Times of day that the last reports showed.
+    /// Times of day of the last reports.
     readings: RecentReadings,
-    /// Holders that were closed; late records of theirs change nothing.
+    /// Closed holders, whose late records change nothing.
     closed_holders: BTreeSet<(BudgetName, IncarnationId)>,
 }
 
@@ -269,19 +270,19 @@
         &self.budgets
     }
 
-    /// A time of day that has passed by the records of several machines, in
-    /// milliseconds since the Unix epoch.
+    /// A time of day that has passed according to the records of several
+    /// machines, in milliseconds since the Unix epoch.
     pub fn time_lower_bound(&self) -> Option<u64> {
         self.readings.agreed_lower_bound()
     }
 
-    /// Counts a record that cannot be decoded, so that offsets stay aligned.
+    /// Skips a record that cannot be decoded, so that offsets stay aligned.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset.saturating_add(1));
     }
 
-    /// Applies the records at `offset` and returns the draws that it decided.
-    /// A lower offset than [`Self::next_offset`] changes nothing.
+    /// Applies the records at `offset` and returns the results of its draws. An
+    /// offset below [`Self::next_offset`] changes nothing.
     pub fn apply(&mut self, offset: u64, records: &[AccountRecord]) -> Vec<DrawResult> {
         if offset < self.next {
             return Vec::new();
@@ -329,8 +330,8 @@
         account.prepaid = tokens;
     }
 
-    /// Grants what is free of `tokens`. A serial that was seen has its
-    /// verdict already.
+    /// Grants as many of `tokens` as are free. A serial number that was already
+    /// applied is ignored.
     fn draw(
         &mut self,
         budget: &BudgetName,
@@ -360,8 +361,8 @@
         })
     }
 
-    /// Takes a report over unless a newer one was, or its sums exceed what
-    /// was drawn.
+    /// Applies a report, unless a newer one was applied or its sums exceed the
+    /// drawn tokens.
     fn report(&mut self, report: &HolderReport) {
         let Some(account) = self.budgets.get_mut(&report.budget) else {
             return;
@@ -369,11 +370,8 @@
         let Some(holder_account) = account.holders.get_mut(&report.holder) else {
             return;
         };
-        let known = holder_account
-            .report
-            .as_ref()
-            .map_or(0, |known| known.serial);
-        if report.serial <= known || report.spent + report.returned > holder_account.drawn {
+        let last_serial = holder_account.report.as_ref().map_or(0, |last| last.serial);
+        if report.serial <= last_serial || report.spent + report.returned > holder_account.drawn {
             return;
         }
         let freed = report.returned.saturating_sub(holder_account.returned);
@@ -385,7 +383,8 @@
         account.counted = account.counted.saturating_sub(freed);
     }
 
-    /// Ends a holder's account; what it spent at the most stays counted.
+    /// Closes a holder's account; the most that it can have spent stays
+    /// counted.
     fn close(&mut self, budget: &BudgetName, holder: IncarnationId, spent: TokenCount) {
         let Some(account) = self.budgets.get_mut(budget) else {
             return;
--- a/crates/hibiscus-ledger/src/account/batch.rs
+++ b/crates/hibiscus-ledger/src/account/batch.rs
@@ -1,16 +1,17 @@
-//! Records of the account stream, each with a batch of account records.
+//! Encoding of account records into records of the stream, each of which holds
+//! a batch of them.
 
 use hibiscus_types::codec;
 use hibiscus_types::codec::Result;
 
 use crate::account::AccountRecord;
 
-/// Encodes `records` for the stream, in their order and in records of up to
-/// `limit` bytes. A single account record is never split.
+/// Encodes `records` in order into stream records of at most `limit` bytes. A
+/// single account record is never split, even if it is longer.
 ///
 /// # Errors
 ///
-/// Fails when a record cannot be encoded.
+/// Fails if a record cannot be encoded.
 pub fn encode(records: &[AccountRecord], limit: usize) -> Result<Vec<Vec<u8>>> {
     let mut encoded = Vec::new();
     encode_into(&mut encoded, records, limit)?;
--- a/crates/hibiscus-ledger/src/account/demand.rs
+++ b/crates/hibiscus-ledger/src/account/demand.rs
@@ -1,20 +1,20 @@
-//! Tokens a second that a holder's requests ask for.
+//! Demand of a holder's requests, in tokens per second.
 
 use std::time::Duration;
 
 use hibiscus_types::TokenCount;
 
-/// Seconds over which the demand is averaged.
+/// Window of the long average, in seconds.
 const LONG_WINDOW_SECONDS: u64 = 12;
-/// Seconds of the shorter average, which follows a rise sooner.
+/// Window of the short average, in seconds; it follows a rise sooner.
 const SHORT_WINDOW_SECONDS: u64 = 4;
-/// Least span of the longer average, so that the first requests do not count
-/// for more than they are.
+/// Shortest time that the long average divides by, in seconds, so that the
+/// first requests are not overestimated.
 const MIN_LONG_SECONDS: u64 = 8;
-/// Weight of the shorter average: a few large requests make it swing.
+/// Weight of the short average, which swings with a few large requests.
 const SHORT_WEIGHT: f64 = 0.6;
 
-/// Reservations by second, and how much of them is used.
+/// Counts reserved tokens by second, and the ratio of them that is used.
 #[derive(Clone, Debug, Default)]
 pub struct DemandCounter {
     seconds: [u64; LONG_WINDOW_SECONDS as usize],
@@ -33,19 +33,18 @@
         self.seconds[slot(second)] += tokens.get();
     }
 
-    /// Counts the end of a reservation of `tokens` of which `charge` was used.
+    /// Counts that `charge` tokens of a reservation of `tokens` were used.
     pub fn settle(&mut self, tokens: TokenCount, charge: TokenCount) {
         self.reserved += tokens.get() as f64;
         self.charged += charge.get() as f64;
     }
 
-    /// Counts that `tokens` which counted as used were not.
+    /// Subtracts `tokens` that were counted as used and were not.
     pub fn refund(&mut self, tokens: TokenCount) {
         self.charged = (self.charged - tokens.get() as f64).max(0.0);
     }
 
-    /// Tokens a second that requests use at `now`: the larger one of the two
-    /// averages.
+    /// Demand at `now` in tokens per second: the larger of the two averages.
     pub fn rate(&mut self, now: Duration) -> f64 {
         self.advance(now);
         let Some(first) = self.first else {
@@ -57,7 +56,7 @@
         long.max(short * SHORT_WEIGHT) * self.used_ratio()
     }
 
-    /// Part of the reserved tokens that is used in the end.
+    /// Ratio of used tokens to reserved tokens.
     fn used_ratio(&self) -> f64 {
         if self.reserved <= 0.0 {
             return 1.0;
@@ -65,7 +64,7 @@
         self.charged / self.reserved
     }
 
-    /// Tokens of the last `count` seconds.
+    /// Tokens reserved in the last `count` seconds.
     fn sum(&self, count: u64) -> u64 {
         let seconds = (0..count).filter_map(|back| self.newest.checked_sub(back));
         seconds.map(|second| self.seconds[slot(second)]).sum()
@@ -83,7 +82,7 @@
     }
 }
 
-/// The place of a second in the ring.
+/// Index of a second in the ring buffer.
 fn slot(second: u64) -> usize {
     usize::try_from(second % LONG_WINDOW_SECONDS).unwrap_or(0)
 }
--- a/crates/hibiscus-ledger/src/account/limit.rs
+++ b/crates/hibiscus-ledger/src/account/limit.rs
@@ -1,35 +1,36 @@
-//! The line that a holder's spending stays below between two reports.
+//! Spending limit of a holder between two of its reports.
 
 use hibiscus_types::TokenCount;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Difference between the steady clock and the time of day over the same span
-/// from which on the two times are not of one boot: a machine that is booted
-/// anew may begin its steady clock anywhere.
+/// Largest difference between the elapsed monotonic time and the elapsed time
+/// of day, in milliseconds. Beyond it the two readings are not from one boot:
+/// the monotonic clock may start anywhere after a reboot.
 const CLOCK_TOLERANCE_MS: u64 = 250;
 
-/// A time of a machine's clocks.
+/// Reading of a machine's clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineTime {
-    /// Tells one boot of the machine from the next; 0 when it is not known.
+    /// Identifies the boot of the machine; 0 if it is unknown.
     pub boot: u64,
-    /// Milliseconds of the steady clock.
+    /// Monotonic clock, in milliseconds.
     pub millis: u64,
-    /// Time of day, in milliseconds since the Unix epoch. It proves nothing by
-    /// itself.
+    /// Time of day, in milliseconds since the Unix epoch. It proves nothing on
+    /// its own, because it can be set.
     pub unix_millis: u64,
 }
 
 impl MachineTime {
-    /// Milliseconds since `earlier`, which the same process read.
+    /// Milliseconds since `earlier`, which was read by the same process.
     pub fn since_same_process(self, earlier: Self) -> u64 {
         self.millis.saturating_sub(earlier.millis)
     }
 
-    /// Milliseconds since `earlier`, which an earlier process of the machine
-    /// read; `None` when the steady clocks cannot be compared. Both clocks must
-    /// show the same span, and the longer one counts.
+    /// Milliseconds since `earlier`, which was read by an earlier process on
+    /// the machine; `None` if the monotonic clocks cannot be compared. Both
+    /// clocks must show the same elapsed time, and the longer of the two
+    /// counts.
     pub fn since_other_process(self, earlier: Self) -> Option<u64> {
         if self.boot == 0 || self.boot != earlier.boot {
             return None;
@@ -43,32 +44,33 @@
     }
 }
 
-/// Spent and reserved tokens stay below `base + burst + rate * time`, where
-/// time counts from a while after the line was made: a holder that reaches the
-/// store makes a new line before that, and one that ends takes little along.
+/// Upper bound on a holder's spent and reserved tokens: `base + burst +
+/// per_second * time`, where `time` starts `grows_after` after the limit was
+/// created. A holder that reaches the store reports a new limit before that, so
+/// little is lost when it crashes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpendingLimit {
     /// Tokens spent and reserved at [`Self::created_at`].
     pub base: TokenCount,
-    /// Tokens beyond them that may be spent at once.
+    /// Tokens beyond the base that may be spent at once.
     pub burst: TokenCount,
-    /// Tokens that may be spent in each second once the line grows.
+    /// Growth of the limit, in tokens per second.
     pub per_second: u64,
-    /// When the line was made.
+    /// When the limit was created.
     pub created_at: MachineTime,
-    /// Milliseconds from then until the line grows.
+    /// Time from the creation until the limit grows, in milliseconds.
     pub grows_after: u64,
 }
 
 impl SpendingLimit {
-    /// The most that the process that made the line may spend and reserve at
-    /// `now`.
+    /// The most that the process that created the limit may spend and reserve
+    /// at `now`.
     pub fn allowed_at(&self, now: MachineTime) -> TokenCount {
         self.allowed_after(now.since_same_process(self.created_at))
     }
 
-    /// Milliseconds after the line was made from which on it allows `tokens`;
-    /// `None` if it never does.
+    /// Milliseconds from the creation until the limit allows `tokens`; `None`
+    /// if it never does.
     pub fn millis_until_allowed(&self, tokens: TokenCount) -> Option<u64> {
         let missing = tokens.saturating_sub(self.base + self.burst);
         if missing.is_zero() {
@@ -83,14 +85,14 @@
         Some(self.grows_after.saturating_add(growing))
     }
 
-    /// The most that an ended process of this machine had spent and reserved;
-    /// `None` when the clocks prove nothing.
+    /// The most that an ended process of this machine can have spent and
+    /// reserved; `None` if the clocks prove nothing.
     pub fn max_spent_at(&self, now: MachineTime) -> Option<TokenCount> {
         Some(self.allowed_after(now.since_other_process(self.created_at)?))
     }
 
-    /// The most that may be spent and reserved `millis` after the line was
-    /// made.
+    /// The most that may be spent and reserved `millis` milliseconds after the
+    /// creation.
     pub fn allowed_after(&self, millis: u64) -> TokenCount {
         let growing = millis.saturating_sub(self.grows_after);
         let paced = u128::from(self.per_second) * u128::from(growing) / 1_000;
--- a/crates/hibiscus-ledger/src/account/policy.rs
+++ b/crates/hibiscus-ledger/src/account/policy.rs
@@ -1,132 +1,143 @@
-//! How much a holder draws and keeps of one budget, and what its line allows
-//! between two reports.
+//! How many tokens of a budget a holder draws and keeps, and what its spending
+//! limit allows between two reports.
 //!
-//! What a line allows beyond what was reported is lost when the process ends
-//! and the time of its end is not known. So a holder that reaches the store
-//! has little in hand: a request beyond it waits for one append, in which a new
-//! line provides for it. Only a holder that has not reached the store for a
-//! while may spend on, as fast as its requests came before. Near the limit of
-//! a budget all of this shrinks to nothing: what waits is drawn, and each
-//! request is reported before it is sent.
+//! What the limit allows beyond the reported spending is lost when the process
+//! crashes and the time of the crash is unknown. A holder that reaches the
+//! store therefore gets a small limit: a request beyond it waits for one append
+//! of a new limit that includes the request. Only a holder that has not reached
+//! the store for a while may continue to spend, at the rate of its previous
+//! demand. Near the end of a budget the limit shrinks to zero: only what
+//! waiting requests need is drawn, and each request is reported before it is
+//! sent.
 
 use std::time::Duration;
 
 use hibiscus_types::TokenCount;
 
-/// Time that a holder provides for at its present demand: instances are cut
-/// off from the store for up to 10 s at a time, and demand nearly doubles
-/// meanwhile. What a line does not allow is not lost with the holder.
+/// Time for which a holder draws tokens ahead at its present demand. Instances
+/// are cut off from the store for up to 10 s at a time, and demand nearly
+/// doubles meanwhile. Held tokens beyond the spending limit are not lost in a
+/// crash.
 const DEMAND_HORIZON: Duration = Duration::from_secs(20);
-/// Time that a holder provides for once its planned stop has begun, or others
-/// hold in its place.
+/// Time for which a holder keeps tokens during a graceful shutdown, or after
+/// other instances became the holders.
 const RELEASE_HORIZON: Duration = Duration::from_secs(2);
-/// Part of what is free that all holders of a budget may spend without a word
-/// to the store, however little is asked for: what a power cut of all machines
-/// may take along, and what a quiet team's first requests have when the store
-/// is away.
+/// Ratio of the free tokens that all holders of a budget together may spend
+/// without a report, however low the demand is. This much may be lost in a
+/// power cut of all machines, and this much is available to the first requests
+/// of an idle team while the store is unreachable.
 const BASELINE_RATIO: f64 = 0.006;
-/// What is in hand then, as a multiple: a large request needs all of it, and
-/// what a line does not allow is not lost.
+/// Tokens that a holder draws at low demand, as a multiple of its part of the
+/// baseline. A large request needs all of them, and those beyond the spending
+/// limit are not lost in a crash.
 const BASELINE_HELD_FACTOR: f64 = 17.0;
-/// Time in which a line without a known demand allows that part once more.
+/// Time in which the limit allows the baseline once more while no demand is
+/// known.
 const BASELINE_REFILL_TIME: Duration = Duration::from_secs(10);
-/// Part of what is left of a budget that all holders together keep while it
-/// is ample; the rest is there for swings of the demand and after a crash.
+/// Ratio of the remaining tokens of an ample budget that all holders together
+/// keep. The rest is left for changes in demand and for use after a crash.
 const HELD_RATIO: f64 = 0.5;
-/// Part of a total below which less than [`HELD_RATIO`] of what is left is
-/// kept: what is held is not there for the others.
+/// Ratio of a budget's total below which the holders keep less than
+/// [`HELD_RATIO`] of the remaining tokens: held tokens are unavailable to other
+/// holders.
 const LOW_BUDGET_RATIO: f64 = 0.4;
-/// Part of its target below which a holder draws.
+/// Ratio of its target below which a holder draws.
 const REFILL_RATIO: f64 = 0.7;
-/// Part of a total below which what is free counts as scarce.
+/// Ratio of a budget's total below which free tokens are scarce.
 const SCARCE_RATIO: f64 = 0.25;
-/// Parts of a total below which what is not spent is little, and above which it
-/// is plenty.
+/// Ratios of a budget's total: below the first, few unspent tokens remain;
+/// above the second, plenty remain.
 const PLENTY_RATIOS: [f64; 2] = [0.35, 0.7];
-/// Time of the present demand that a line allows at once, so that not each
-/// request waits for an append: with little left, and with plenty.
+/// Time for which the limit allows the present demand at once, so that not
+/// every request waits for an append: with few tokens left, and with plenty.
 const BURST_TIMES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1_000)];
-/// Demand that a line allows once it grows, as a multiple of the present one, in
-/// the same order: demand rises meanwhile, and is measured late.
+/// Growth of the limit as a multiple of the present demand: with few tokens
+/// left, and with plenty. Demand rises meanwhile, and its measurement lags.
 const RATE_FACTORS: [f64; 2] = [1.1, 2.0];
-/// The same for each delay of the store, which a new line takes.
+/// Time for which the limit allows the present demand in addition, as a
+/// multiple of the store's delay, which delays each new limit.
 const BURST_DELAY_FACTOR: f64 = 2.0;
-/// Longest time of the demand that a line allows at once.
+/// Longest time for which the limit allows the present demand at once.
 const BURST_TIME_LIMIT: Duration = Duration::from_secs(2);
-/// Time from a line's making until it grows, in the same order. New lines come
-/// more often while the store answers. Machines that lost their power together
-/// are back some 2 s later, and what lines allow until then is lost; a holder
-/// that is cut off refuses its requests until then.
+/// Time from the creation of a limit until it grows: with few tokens left, and
+/// with plenty. While the store is reachable, new limits replace it sooner.
+/// Machines that lose power together are back about 2 s later, and what the
+/// limits allow until then is lost. A holder that is cut off from the store
+/// refuses requests until the limit grows.
 const GROWTH_DELAYS: [Duration; 2] = [Duration::from_millis(3_000), Duration::from_millis(300)];
-/// Time between two reports of what was spent, in the same order: a line is as
-/// old as the last one when its holder ends.
+/// Time between two reports: with few tokens left, and with plenty. When a
+/// holder crashes, its limit is as old as its last report.
 const REPORT_INTERVALS: [Duration; 2] = [Duration::from_millis(350), Duration::from_millis(700)];
 
-/// What the policy decides on.
+/// Inputs of the decision for one budget.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DrawInputs {
-    /// Tokens a second that this holder spends.
+    /// Demand of this holder, in tokens per second.
     pub demand_per_second: f64,
     /// Tokens that waiting requests need.
     pub wanted: TokenCount,
     /// Tokens available to this holder.
     pub available: TokenCount,
-    /// Tokens that the fold may still grant.
+    /// Tokens that may still be granted.
     pub free: TokenCount,
-    /// The total.
+    /// The budget's total.
     pub prepaid: TokenCount,
     /// Tokens that all holders have drawn and not reported as spent.
     pub unreported: TokenCount,
-    /// Tokens a second that the other holders spend, by their reports.
+    /// Demand of the other holders by their reports, in tokens per second.
     pub others_per_second: f64,
-    /// Instances that hold the budget.
+    /// Number of instances that hold the budget.
     pub holders: u32,
     /// Time that the store takes for an append.
     pub store_delay: Duration,
-    /// Whether this holder has begun a planned stop.
+    /// Whether this holder has begun a graceful shutdown.
     pub shutting_down: bool,
-    /// What it does for the budget.
+    /// When this instance draws tokens of the budget.
     pub mode: DrawMode,
 }
 
-/// What an instance does for a budget.
+/// When an instance draws tokens of a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DrawMode {
-    /// It draws for the demand to come.
+    /// Draws ahead for the expected demand.
     #[default]
     Prefetch,
-    /// It draws for requests that wait and keeps what it has: it does not know
-    /// the other instances, or does not reach most of them.
+    /// Draws only for waiting requests and keeps the tokens that it has: the
+    /// instance does not know the other instances, or cannot reach most of
+    /// them.
     OnDemand,
-    /// Others hold in its place: it draws for requests that wait, and gives the
-    /// rest back.
+    /// Draws only for waiting requests and returns the rest, because other
+    /// instances hold the budget.
     Release,
 }
 
-/// What a holder should do now.
+/// What a holder does next for one budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrawDecision {
-    /// Tokens to ask for; zero asks for nothing.
+    /// Tokens to draw; zero for no draw.
     pub draw: TokenCount,
-    /// Tokens to give back.
+    /// Tokens to return.
     pub tokens_to_return: TokenCount,
-    /// Tokens that the next line allows at once.
+    /// Tokens that the next limit allows at once.
     pub burst: TokenCount,
-    /// Tokens that the next line allows in each second, once it grows.
+    /// Growth of the next limit, in tokens per second.
     pub per_second: u64,
-    /// Time until it does.
+    /// Time until the next limit grows.
     pub grows_after: Duration,
-    /// Time after which what was spent is reported again.
+    /// Time until the spending is reported again.
     pub report_interval: Duration,
 }
 
-/// Decides for one budget.
-pub fn decide(view: &DrawInputs) -> DrawDecision {
-    let decision = decide_serving(view);
-    let waiting_draw = view.wanted.saturating_sub(view.available).min(view.free);
-    match view.mode {
-        DrawMode::Prefetch if !view.shutting_down => return decision,
-        DrawMode::OnDemand if !view.shutting_down => {
+/// Decides what a holder does next for one budget.
+pub fn decide(inputs: &DrawInputs) -> DrawDecision {
+    let decision = decide_serving(inputs);
+    let waiting_draw = inputs
+        .wanted
+        .saturating_sub(inputs.available)
+        .min(inputs.free);
+    match inputs.mode {
+        DrawMode::Prefetch if !inputs.shutting_down => return decision,
+        DrawMode::OnDemand if !inputs.shutting_down => {
             return DrawDecision {
                 draw: waiting_draw,
                 tokens_to_return: TokenCount::ZERO,
@@ -135,104 +146,104 @@
         }
         _leaving => {}
     }
-    // The store may be out of reach when a stop ends, and a relieved holder's
-    // tokens are missing elsewhere: what the last requests will not need goes
-    // back at once.
-    let needed = view.demand_per_second * RELEASE_HORIZON.as_secs_f64();
-    let kept = tokens(needed) + view.wanted;
+    // The store may be unreachable at the end of a shutdown, and tokens of a
+    // former holder are missing elsewhere. Tokens that the last requests do not
+    // need are therefore returned at once.
+    let needed = inputs.demand_per_second * RELEASE_HORIZON.as_secs_f64();
+    let kept = tokens(needed) + inputs.wanted;
     DrawDecision {
         draw: waiting_draw,
-        tokens_to_return: view.available.saturating_sub(kept),
+        tokens_to_return: inputs.available.saturating_sub(kept),
         ..decision
     }
 }
 
-/// Decides for a holder that serves on.
-fn decide_serving(view: &DrawInputs) -> DrawDecision {
-    let availability = availability_factor(view);
-    let holders = f64::from(view.holders.max(1));
-    let baseline = view.free.get() as f64 * BASELINE_RATIO / holders * availability;
-    let demand = view.demand_per_second * DEMAND_HORIZON.as_secs_f64() * availability;
-    let available = view.available.get() as f64;
+/// Decides for a holder that continues to serve.
+fn decide_serving(inputs: &DrawInputs) -> DrawDecision {
+    let availability = availability_factor(inputs);
+    let holders = f64::from(inputs.holders.max(1));
+    let baseline = inputs.free.get() as f64 * BASELINE_RATIO / holders * availability;
+    let demand = inputs.demand_per_second * DEMAND_HORIZON.as_secs_f64() * availability;
+    let available = inputs.available.get() as f64;
     let target = demand
         .max(baseline * BASELINE_HELD_FACTOR)
-        .min(fair_share(view, baseline));
+        .min(fair_share(inputs, baseline));
     let missing = if available < target * REFILL_RATIO {
         target - available
     } else {
         0.0
     };
-    let wanted = view.wanted.saturating_sub(view.available);
-    let draw = tokens(missing).max(wanted).min(view.free);
-    let surplus = available - view.wanted.get() as f64 - target / REFILL_RATIO;
+    let wanted = inputs.wanted.saturating_sub(inputs.available);
+    let draw = tokens(missing).max(wanted).min(inputs.free);
+    let surplus = available - inputs.wanted.get() as f64 - target / REFILL_RATIO;
     let scarce = availability < 1.0 && wanted.is_zero();
     let tokens_to_return = if scarce {
         tokens(surplus)
     } else {
         TokenCount::ZERO
     };
-    let delays = view.store_delay.as_secs_f64() * BURST_DELAY_FACTOR;
-    let plenty = plenty(view);
+    let delays = inputs.store_delay.as_secs_f64() * BURST_DELAY_FACTOR;
+    let plenty = plenty(inputs);
     let burst_time = interpolate(BURST_TIMES, plenty).as_secs_f64() + delays;
     let burst_time = burst_time.min(BURST_TIME_LIMIT.as_secs_f64());
-    let burst = view.demand_per_second * burst_time * availability;
+    let burst = inputs.demand_per_second * burst_time * availability;
     let [least, most] = RATE_FACTORS;
-    let limit = view.demand_per_second * (least + (most - least) * plenty) * availability;
+    let rate = inputs.demand_per_second * (least + (most - least) * plenty) * availability;
     DrawDecision {
         draw,
         tokens_to_return,
         burst: tokens(burst.max(baseline)),
-        per_second: tokens(limit.max(baseline / BASELINE_REFILL_TIME.as_secs_f64())).get(),
+        per_second: tokens(rate.max(baseline / BASELINE_REFILL_TIME.as_secs_f64())).get(),
         grows_after: interpolate(GROWTH_DELAYS, plenty),
         report_interval: interpolate(REPORT_INTERVALS, plenty),
     }
 }
 
-/// 0 while little of a budget is left, up to 1 with plenty.
-fn plenty(view: &DrawInputs) -> f64 {
-    if view.prepaid.is_zero() {
+/// 0 if few tokens of the budget remain, rising to 1 if plenty remain.
+fn plenty(inputs: &DrawInputs) -> f64 {
+    if inputs.prepaid.is_zero() {
         return 0.0;
     }
-    let left = view.free + view.unreported;
-    let part = left.get() as f64 / view.prepaid.get() as f64;
+    let remaining = inputs.free + inputs.unreported;
+    let part = remaining.get() as f64 / inputs.prepaid.get() as f64;
     let [little, plenty] = PLENTY_RATIOS;
     ((part - little) / (plenty - little)).clamp(0.0, 1.0)
 }
 
-/// The time that lies at `part` of the way between two.
+/// Interpolates linearly between two durations.
 fn interpolate([from, to]: [Duration; 2], part: f64) -> Duration {
     from.mul_f64(1.0 - part) + to.mul_f64(part)
 }
 
-/// The part of what is left that this holder may keep: its part of the
-/// demand, of the part that may be out at once. Without a demand it is what
-/// is kept ready.
-fn fair_share(view: &DrawInputs, baseline: f64) -> f64 {
-    let left = (view.free + view.unreported).get() as f64;
-    let low = view.prepaid.get() as f64 * LOW_BUDGET_RATIO;
+/// Share of the remaining tokens that this holder may keep: its part of the
+/// total demand, applied to the tokens that all holders together may keep.
+/// Without demand, its part of the baseline.
+fn fair_share(inputs: &DrawInputs, baseline: f64) -> f64 {
+    let remaining = (inputs.free + inputs.unreported).get() as f64;
+    let low = inputs.prepaid.get() as f64 * LOW_BUDGET_RATIO;
     let scale = if low > 0.0 {
-        (left / low).min(1.0)
+        (remaining / low).min(1.0)
     } else {
         0.0
     };
-    let kept = left * HELD_RATIO * scale.powf(1.5);
-    let demand = view.demand_per_second + view.others_per_second;
-    if view.demand_per_second <= 0.0 {
-        return (baseline * BASELINE_HELD_FACTOR).min(kept / f64::from(view.holders.max(1)));
+    let kept = remaining * HELD_RATIO * scale.powf(1.5);
+    let demand = inputs.demand_per_second + inputs.others_per_second;
+    if inputs.demand_per_second <= 0.0 {
+        return (baseline * BASELINE_HELD_FACTOR).min(kept / f64::from(inputs.holders.max(1)));
     }
-    kept * view.demand_per_second / demand
+    kept * inputs.demand_per_second / demand
 }
 
-/// 1 while a budget is far from its limit, down to 0 at it.
-fn availability_factor(view: &DrawInputs) -> f64 {
-    let scarce = view.prepaid.get() as f64 * SCARCE_RATIO;
+/// 1 if enough of the budget is free, falling to 0 when none is free.
+fn availability_factor(inputs: &DrawInputs) -> f64 {
+    let scarce = inputs.prepaid.get() as f64 * SCARCE_RATIO;
     if scarce <= 0.0 {
         return 0.0;
     }
-    (view.free.get() as f64 / scarce).clamp(0.0, 1.0)
+    (inputs.free.get() as f64 / scarce).clamp(0.0, 1.0)
 }
 
-/// A number of tokens, at least none.
+/// Rounds down to whole tokens; a negative amount becomes zero.
 fn tokens(amount: f64) -> TokenCount {
     TokenCount::new(amount.max(0.0) as u64)
 }
--- a/crates/hibiscus-ledger/src/account/quota.rs
+++ b/crates/hibiscus-ledger/src/account/quota.rs
@@ -7,92 +7,92 @@
 use crate::account::limit::MachineTime;
 use crate::account::limit::SpendingLimit;
 
-/// Whose tokens pay.
+/// Origin of reserved tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenSource {
-    /// This holder drew them.
+    /// Drawn by this holder.
     Drawn,
-    /// Another holder gave them, and counts them as spent.
+    /// Received from another holder, which counts them as spent.
     Received,
 }
 
-/// Tokens set aside for one request.
+/// Tokens reserved for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaReservation {
     /// The most that the request may cost.
     pub tokens: TokenCount,
-    /// Whose they are.
+    /// Origin of the tokens.
     pub source: TokenSource,
 }
 
-/// Why tokens cannot be set aside.
+/// Why tokens cannot be reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReservationError {
     /// The holder has not drawn enough.
     NotDrawn,
-    /// The pace that the holder reported does not allow it yet.
-    TooFast,
+    /// The spending limit that the holder reported does not allow them yet.
+    OverLimit,
 }
 
-/// One line that was sent, and the batch that carries it.
+/// A spending limit that was sent, with the number of its batch.
 #[derive(Clone, Copy, Debug)]
 struct SentLimit {
     batch: u64,
     limit: SpendingLimit,
 }
 
-/// One holder's side of its account. Sums but `reserved` only grow, and
-/// `spent`, of which what was passed on may come back.
+/// A holder's own view of its account. The sums only grow, except `reserved`,
+/// and `spent`, which shrinks when transferred tokens come back.
 ///
-/// The holder keeps to every line that the store may show last: the newest
-/// one that was acknowledged, and all that were sent after it.
+/// The holder respects every limit that may be the last one in the store: the
+/// newest acknowledged limit and all limits sent after it.
 #[derive(Clone, Debug, Default)]
 pub struct LocalQuota {
     drawn: TokenCount,
     returned: TokenCount,
     spent: TokenCount,
     reserved: TokenCount,
-    /// Tokens that other holders gave and that are not set aside.
+    /// Unreserved tokens received from other holders.
     received: TokenCount,
     limits: VecDeque<SentLimit>,
     acknowledged: bool,
 }
 
 impl LocalQuota {
-    /// Adds tokens that the fold granted.
+    /// Adds tokens granted by a draw.
     pub fn add_drawn(&mut self, granted: TokenCount) {
         self.drawn = self.drawn + granted;
     }
 
-    /// Adds tokens that another holder gave.
+    /// Adds tokens received from another holder.
     pub fn add_received(&mut self, tokens: TokenCount) {
         self.received = self.received + tokens;
     }
 
-    /// Tokens that other holders gave and that are not set aside.
+    /// Unreserved tokens received from other holders.
     pub fn received(&self) -> TokenCount {
         self.received
     }
 
-    /// Takes out all that other holders gave and that is not set aside, to be
-    /// passed on.
+    /// Removes all unreserved tokens received from other holders, so that they
+    /// can be sent back.
     pub fn take_received(&mut self) -> TokenCount {
         std::mem::take(&mut self.received)
     }
 
-    /// Tokens that were drawn and are neither spent nor set aside.
+    /// Tokens that were drawn and are neither spent nor reserved.
     pub fn available(&self) -> TokenCount {
         self.drawn
             .saturating_sub(self.returned)
             .saturating_sub(self.used())
     }
 
-    /// Tokens spent and set aside.
+    /// Tokens spent and reserved.
     pub fn used(&self) -> TokenCount {
         self.spent + self.reserved
     }
 
-    /// Tokens that requests in progress have set aside.
+    /// Tokens reserved by requests in progress.
     pub fn reserved(&self) -> TokenCount {
         self.reserved
     }
@@ -102,18 +102,18 @@
         self.spent
     }
 
-    /// Sum of the tokens given back.
+    /// Sum of the returned tokens.
     pub fn returned(&self) -> TokenCount {
         self.returned
     }
 
-    /// Whether a line was sent that is not acknowledged.
+    /// Whether a limit was sent that is not acknowledged yet.
     pub fn has_unacknowledged(&self) -> bool {
         let kept = usize::from(self.acknowledged);
         self.limits.len() > kept
     }
 
-    /// Notes that `batch` carries the line `limit`.
+    /// Records that `batch` carries `limit`.
     pub fn record_sent_limit(&mut self, batch: u64, limit: SpendingLimit) {
         self.limits.push_back(SentLimit { batch, limit });
     }
@@ -128,11 +128,12 @@
         self.acknowledged = true;
     }
 
-    /// Sets `tokens` aside.
+    /// Reserves `tokens`.
     ///
     /// # Errors
     ///
-    /// Fails when they were not drawn, or when a line does not allow them.
+    /// Fails when they were not drawn, or when a spending limit does not
+    /// allow them.
     pub fn reserve(
         &mut self,
         tokens: TokenCount,
@@ -148,15 +149,15 @@
         }
         let used = self.used() + tokens;
         if self.allowed(now).is_none_or(|allowed| used > allowed) {
-            return Err(ReservationError::TooFast);
+            return Err(ReservationError::OverLimit);
         }
         self.reserved = self.reserved + tokens;
         let source = TokenSource::Drawn;
         Ok(QuotaReservation { tokens, source })
     }
 
-    /// Ends a reservation of which `charge` was used; more than was reserved
-    /// is never charged.
+    /// Ends a reservation of which `charge` tokens were used. At most the
+    /// reserved tokens are charged.
     pub fn settle(&mut self, reservation: QuotaReservation, charge: TokenCount) {
         if reservation.source == TokenSource::Received {
             self.received = self.received + reservation.tokens.saturating_sub(charge);
@@ -166,8 +167,8 @@
         self.spent = self.spent + charge.min(reservation.tokens);
     }
 
-    /// Takes tokens back that were counted as spent and passed on to another
-    /// instance, which has no use for them; what goes beyond that was given by
+    /// Takes back tokens that were counted as spent when they were transferred
+    /// and that the other instance did not use. Any excess was received from
     /// other holders.
     pub fn refund(&mut self, tokens: TokenCount) {
         let own = tokens.min(self.spent);
@@ -175,13 +176,13 @@
         self.received = self.received + tokens.saturating_sub(own);
     }
 
-    /// Takes up to `tokens` out, to be reported as given back.
+    /// Takes up to `tokens` available tokens and counts them as returned.
     pub fn return_tokens(&mut self, tokens: TokenCount) {
         self.returned = self.returned + tokens.min(self.available());
     }
 
-    /// Time from `now` until `tokens` more may be set aside if no further line
-    /// is acknowledged; `None` if never.
+    /// Milliseconds from `now` until `tokens` more can be reserved if no
+    /// further limit is acknowledged; `None` if they never can.
     pub fn millis_until_available(&self, tokens: TokenCount, now: MachineTime) -> Option<u64> {
         if !self.acknowledged || tokens > self.available() {
             return None;
@@ -199,8 +200,8 @@
         Some(longest)
     }
 
-    /// The most that all lines allow to be used at `now`; `None` before the
-    /// first was acknowledged.
+    /// The most that all limits allow to be used at `now`; `None` before the
+    /// first limit is acknowledged.
     pub fn allowed(&self, now: MachineTime) -> Option<TokenCount> {
         if !self.acknowledged {
             return None;
--- a/crates/hibiscus-ledger/src/account/snapshot.rs
+++ b/crates/hibiscus-ledger/src/account/snapshot.rs
@@ -1,17 +1,18 @@
 //! Snapshots of budgets, for readers that start after records have expired.
 //!
-//! The stream keeps its records for minutes only. So one instance a budget
-//! writes the account that it folded into a keyed topic, whose newest record
-//! of each key stays: soon after the budget is known, and from then on well
-//! within the time that records are kept ([`SNAPSHOT_INTERVAL`]).
+//! The stream keeps its records only for minutes. One instance for each budget
+//! therefore writes the budget's folded account to a keyed topic, which keeps
+//! the newest record of each key. It writes the first snapshot soon after the
+//! budget is known, and later ones well within the time that records are kept
+//! ([`SNAPSHOT_INTERVAL`]).
 //!
-//! A reader that finds the first records gone begins with the snapshots
-//! ([`AccountFold::resume`]). One that is older than the first record left
-//! cannot be carried on: draws and lines may have been lost between the two, so
-//! the whole total counts as spent, until it is raised. That happens when
-//! all instances end without a planned stop and stay away for longer than
-//! records are kept. A budget without a snapshot is younger than all of that,
-//! and its records are all there.
+//! A reader that finds the first records missing starts from the snapshots
+//! ([`AccountFold::resume`]). If a snapshot is older than the oldest remaining
+//! record, draws and limits may have been lost between the two, so the whole
+//! total counts as spent until it is raised. This happens if all instances end
+//! without a graceful shutdown and stay away for longer than records are kept.
+//! A budget without a snapshot is newer than that, and all its records are
+//! still present.
 
 use std::time::Duration;
 
@@ -23,33 +24,33 @@
 use crate::account::AccountFold;
 use crate::account::BudgetAccount;
 
-/// Topic of the snapshots, keyed by budget. As the stream's, its name tells the
-/// format.
+/// Topic of the snapshots, keyed by budget. Its name includes the version of
+/// the format, as the name of the stream does.
 pub const SNAPSHOT_TOPIC: &str = "keyed.accounts-2";
-/// Time between two snapshots of a budget; the platform keeps records for
-/// 300 s, so three may fail.
+/// Time between two snapshots of a budget. The platform keeps records for 300
+/// s, so three snapshots in a row may fail.
 pub const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Closed holders that a snapshot names, the newest: late records come within
-/// seconds, and a record of the store takes 262,144 bytes.
+/// Closed holders in a snapshot, the newest ones: late records arrive within
+/// seconds, and a record of the store holds 262,144 bytes.
 const SNAPSHOT_CLOSED_HOLDERS_LIMIT: usize = 4_000;
 
-/// One budget as the records before an offset leave it.
+/// State of one budget before an offset of the stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountSnapshot {
     /// The budget.
     pub budget: BudgetName,
-    /// Offset of the first record that is not contained.
+    /// Offset of the first record that the snapshot does not contain.
     pub next: u64,
-    /// The account.
+    /// The budget's state.
     pub account: BudgetAccount,
-    /// Its closed holders, the newest ones.
+    /// The newest closed holders of the budget.
     pub closed_holders: Vec<IncarnationId>,
 }
 
 impl BudgetAccount {
-    /// Counts the whole total as spent and ends all holders: lines that they
-    /// reported later may be lost. Returns the holders.
+    /// Counts the whole total as spent and removes all holders, because later
+    /// limits of theirs may be lost. Returns the removed holders.
     fn close_all(&mut self) -> Vec<IncarnationId> {
         self.counted = self.counted.max(self.prepaid);
         self.closed = self.counted;
@@ -59,7 +60,8 @@
 }
 
 impl AccountFold {
-    /// The present snapshot of `budget`, if it is known.
+    /// A snapshot of `budget` at the current offset; `None` if there is no such
+    /// budget.
     pub fn snapshot(&self, budget: &BudgetName) -> Option<AccountSnapshot> {
         let account = self.budgets.get(budget)?.clone();
         let closed_holders = self.closed_holders.iter().rev();
@@ -73,8 +75,9 @@
         })
     }
 
-    /// A fold that goes on with the record at `first`, the oldest that is
-    /// kept, and the budgets whose snapshots were too old for that.
+    /// Restores a fold from `snapshots`. It continues with the record at
+    /// `first`, the oldest one that the stream still has. Also returns the
+    /// budgets whose snapshots were too old to continue.
     pub fn resume(first: u64, snapshots: Vec<AccountSnapshot>) -> (Self, Vec<BudgetName>) {
         let mut fold = Self {
             next: first,
--- a/crates/hibiscus-ledger/tests/account.rs
+++ b/crates/hibiscus-ledger/tests/account.rs
@@ -180,7 +180,7 @@
     quota.add_drawn(tokens(500));
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
-        Err(ReservationError::TooFast)
+        Err(ReservationError::OverLimit)
     );
     let limit = SpendingLimit {
         base: TokenCount::ZERO,
@@ -192,13 +192,13 @@
     quota.record_sent_limit(1, limit);
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
-        Err(ReservationError::TooFast)
+        Err(ReservationError::OverLimit)
     );
     quota.acknowledge(1);
     assert!(quota.reserve(tokens(100), at(0)).is_ok());
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
-        Err(ReservationError::TooFast)
+        Err(ReservationError::OverLimit)
     );
     assert_eq!(
         quota.reserve(tokens(500), at(0)),
@@ -282,7 +282,7 @@
     giver.acknowledge(1);
     assert_eq!(
         giver.reserve(tokens(400), at(0)),
-        Err(ReservationError::TooFast)
+        Err(ReservationError::OverLimit)
     );
     let given = tokens(300);
     let reservation = giver.reserve(given, at(0)).expect("the line allows it");
@@ -318,7 +318,7 @@
     quota.settle(reservation, tokens(300));
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
-        Err(ReservationError::TooFast)
+        Err(ReservationError::OverLimit)
     );
     quota.refund(tokens(120));
     assert_eq!(quota.spent(), tokens(180));
@@ -326,7 +326,7 @@
     assert!(quota.reserve(tokens(120), at(0)).is_ok());
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
-        Err(ReservationError::TooFast)
+        Err(ReservationError::OverLimit)
     );
     // What another holder had passed on counts there.
     quota.refund(tokens(200));
--- a/crates/hibiscus-traffic/src/budgets.rs
+++ b/crates/hibiscus-traffic/src/budgets.rs
@@ -1,9 +1,10 @@
-//! Tokens that this instance holds, and the requests that wait for some.
+//! Token budgets of this instance, and the requests that wait for tokens.
 //!
-//! [`BudgetManager`] folds the account stream. What it does with the budgets is in
-//! the modules below: reservations in `tokens`, what goes to the store in
-//! `review`, what processes leave to each other in `recovery`. The tasks of the
-//! traffic thread share it through a [`BudgetHandle`].
+//! [`BudgetManager`] folds the account stream. Its modules add the rest:
+//! `tokens` reserves and transfers tokens, `review` decides what is written to
+//! the store, and `recovery` closes the accounts of earlier processes and
+//! writes snapshots for later ones. The tasks of the traffic thread share the
+//! manager through a [`BudgetHandle`].
 
 mod handle;
 mod recovery;
@@ -45,62 +46,63 @@
 use crate::tally::DrawOutcome;
 use crate::tally::WorkTally;
 
-/// Records on their way to the store.
+/// Account records and snapshots to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountBatch {
-    /// Grows by one a batch.
+    /// Increases by one with each batch.
     pub number: u64,
-    /// The records in order.
+    /// Account records, in order.
     pub records: Vec<AccountRecord>,
-    /// Snapshots that go to their own topic.
+    /// Snapshots, which go to their own topic.
     pub snapshots: Vec<AccountSnapshot>,
 }
 
-/// One budget at this holder.
+/// State of one budget at this instance.
 #[derive(Debug, Default)]
 struct HeldBudget {
     quota: LocalQuota,
     demand: DemandCounter,
-    /// Number of the last draw sent.
+    /// Serial number of the last draw.
     draw_serial: u64,
-    /// Tokens that it asked for.
+    /// Tokens that the last draw requested.
     requested: TokenCount,
-    /// Whether that draw has no verdict yet.
+    /// Whether the last draw has no result yet.
     pending: bool,
-    /// Number of the last draw whose verdict came: a stream that is read once
-    /// more brings verdicts again.
+    /// Serial number of the last draw whose result was applied. When the stream
+    /// is read again, it repeats results.
     decided_serial: u64,
-    /// Number of the last report sent.
+    /// Serial number of the last report.
     report_serial: u64,
-    /// When it was made.
+    /// When the last report was made.
     reported_at: Duration,
-    /// Sums that it told: used and given back.
+    /// Used and returned tokens according to the last report.
     reported_sums: (TokenCount, TokenCount),
     /// Tokens that waiting requests need.
     wanted: TokenCount,
-    /// When tokens that other holders gave were last used or added.
+    /// When received tokens were last added or used.
     received_used_at: Duration,
-    /// Tokens passed on to instances that do not hold the budget, by time: what
-    /// their requests leave comes back.
+    /// Tokens transferred to instances that do not hold the budget, with the
+    /// time of the transfer. What their requests leave unused comes back.
     transferred: VecDeque<(Duration, TokenCount)>,
-    /// Wakes the requests that wait.
+    /// Wakes the waiting requests.
     changed: Rc<Notify>,
 }
 
 impl HeldBudget {
-    /// Whether the last report told all that was used and given back.
+    /// Whether the last report covers all used and returned tokens.
     fn is_reported(&self) -> bool {
         (self.quota.used(), self.quota.returned()) == self.reported_sums
     }
 }
 
-/// A total of the configuration.
+/// Total of a budget in the configuration.
 #[derive(Clone, Copy, Debug)]
 struct BudgetTotal {
     tokens: TokenCount,
-    /// Version that brought it.
+    /// Version of the configuration that set it.
     version: u64,
-    /// When this instance first could have written it, and did last.
+    /// When this instance first could have written the total, and last wrote
+    /// it.
     seen: Option<Duration>,
     written: Option<Duration>,
 }
@@ -116,7 +118,7 @@
     }
 }
 
-/// Weight of a new measurement of the store's delay.
+/// Weight of a new sample in the moving average of the store's delay.
 const DELAY_WEIGHT: f64 = 0.25;
 
 /// Why a request gets no tokens now.
@@ -124,15 +126,16 @@
 pub enum TokenRefusal {
     /// The budget cannot cover the request.
     Spent,
-    /// The budget may cover it, but not from here and now.
+    /// The budget may cover the request, but this instance cannot confirm it
+    /// now.
     Unconfirmed,
-    /// It covers it, and will be had here after this many milliseconds if the
-    /// store does not answer before.
+    /// The budget covers the request. This instance can reserve the tokens
+    /// after this many milliseconds, or earlier if the store responds.
     Later(u32),
 }
 
 impl TokenRefusal {
-    /// When there is a chance, if that is known.
+    /// Time until the tokens can be reserved, if it is known.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Later(millis) => Some(Duration::from_millis(millis.into())),
@@ -140,8 +143,8 @@
         }
     }
 
-    /// The one of two refusals that tells more: an end before a time, and the
-    /// sooner of two times.
+    /// The more definite of two refusals: `Spent` before a time, and the
+    /// earlier of two times.
     pub fn or_sooner(self, other: Self) -> Self {
         match (self, other) {
             (Self::Spent, _) | (_, Self::Spent) => Self::Spent,
@@ -152,29 +155,29 @@
     }
 }
 
-/// What this instance does for one budget.
+/// Role of this instance for one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetRole {
-    /// Instances that draw of the budget.
+    /// Number of instances that hold the budget.
     pub holders: u32,
-    /// Whether this one is among them.
+    /// When this instance draws tokens of the budget.
     pub mode: DrawMode,
-    /// Whether it writes the budget's snapshots.
+    /// Whether this instance writes the budget's snapshots.
     pub writes_snapshots: bool,
 }
 
-/// How far the accounts of earlier processes of this machine are closed.
+/// Progress in closing the accounts of this machine's earlier processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryPhase {
     /// The stream has not been read to its end.
     Reading,
-    /// Some accounts are open since the machine's clock proves nothing.
+    /// Some accounts are open, because the machine's clock proves nothing.
     Unproven,
-    /// All were closed.
+    /// All accounts are closed.
     Complete,
 }
 
-/// The budgets of one instance.
+/// Manages the budgets of one instance.
 pub struct BudgetManager {
     holder: IncarnationId,
     machine: InstanceName,
@@ -186,42 +189,44 @@
     outbox: SyncSender<AccountBatch>,
     unsent: Vec<AccountRecord>,
     unsent_snapshots: Vec<AccountSnapshot>,
-    /// When each budget's snapshot was written, and the offset that it had.
+    /// When each budget's last snapshot was written, and its offset.
     snapshots: BTreeMap<BudgetName, (Duration, u64)>,
-    /// Number of the batch that the unsent records will be.
+    /// Number of the next batch.
     batch: u64,
-    /// When the oldest batch that is not acknowledged was made.
+    /// Since when the oldest unacknowledged batch has been waiting.
     unacknowledged_since: Option<Duration>,
     acknowledged: u64,
-    /// Offset after the last record of this holder that the store has.
+    /// Offset after the last record that the store has from this holder.
     appended: u64,
     totals: BTreeMap<BudgetName, BudgetTotal>,
     /// One budget of each group.
     group_samples: Rc<Vec<BudgetName>>,
-    /// When the batches that are not acknowledged were sent.
+    /// Numbers of the unacknowledged batches, and when they were sent.
     sent: VecDeque<(u64, Duration)>,
-    /// Time that the store takes for an append, of late.
+    /// Moving average of the time that the store takes for an append.
     store_delay: Duration,
-    /// The clocks when this process held its ports: those before had ended.
+    /// The machine's clocks when this process got the instance's ports. All
+    /// earlier processes had ended by then.
     ports_held_at: MachineTime,
     recovery: RecoveryPhase,
-    /// Time of day that has passed by the machines' records.
+    /// A time of day that has passed according to the account records.
     time_lower_bound: TimeLowerBound,
-    /// When the last record of the stream came, or it was read to its end.
+    /// When the last record was read, or the stream was last read to its end.
     stream_read_at: Duration,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     shutting_down: bool,
-    /// Whether the own accounts were closed.
+    /// Whether this instance's own accounts are closed.
     closed: bool,
-    /// The thread that reads the stream, once it runs.
+    /// The thread that reads the stream, if it runs.
     reader: Option<Thread>,
-    /// End of the stream when it was read last.
+    /// End of the stream at the last read.
     stream_end: u64,
     tally: Rc<WorkTally>,
 }
 
 impl BudgetManager {
-    /// A desk of `holder` on `machine` that appends through `outbox`.
+    /// Creates a manager for the process `holder` on `machine`, whose batches
+    /// go to `outbox`.
     pub fn new(
         holder: IncarnationId,
         machine: InstanceName,
@@ -259,13 +264,14 @@
         }
     }
 
-    /// This process holds the ports of its instance from now on, so the ones
-    /// before have ended.
+    /// Records that this process now has the instance's ports, so that all
+    /// earlier processes have ended.
     pub fn set_start_time(&mut self) {
         self.ports_held_at = self.clock.now();
     }
 
-    /// This process, the clocks when it held its ports, and the time since.
+    /// The incarnation of this process, the machine's clocks when it got the
+    /// instance's ports, and the time since then.
     pub fn process_start(&self) -> (IncarnationId, MachineTime, Duration) {
         let since = self.clock.now().since_same_process(self.ports_held_at);
         (
@@ -275,12 +281,13 @@
         )
     }
 
-    /// The counts of the work for the fleet.
+    /// Counters of the work that this process does for the fleet.
     pub fn tally(&self) -> &Rc<WorkTally> {
         &self.tally
     }
 
-    /// The stream ended at the offset `end` when it was read last, at `now`.
+    /// Records that the stream ended at the offset `end` when it was read at
+    /// `now`.
     pub fn set_stream_end(&mut self, end: u64, now: Duration) {
         self.stream_end = end;
         if self.unread_records() == 0 {
@@ -288,24 +295,24 @@
         }
     }
 
-    /// Records of the stream that are not folded yet.
+    /// Number of records of the stream that are not applied yet.
     pub fn unread_records(&self) -> u64 {
         self.stream_end.saturating_sub(self.fold.next_offset())
     }
 
-    /// Accounts over all budgets and holders.
+    /// Number of accounts over all budgets and holders.
     pub fn account_count(&self) -> usize {
         let budgets = self.fold.budgets().values();
         budgets.map(|account| account.holders.len()).sum()
     }
 
-    /// Names the thread that reads the stream: it pauses between reads, and is
-    /// woken when a verdict is to be had.
+    /// Sets the thread that reads the stream. The thread pauses between two
+    /// reads and is woken when the result of a draw can be read.
     pub fn set_reader(&mut self, reader: Thread) {
         self.reader = Some(reader);
     }
 
-    /// Takes the totals of a configuration over.
+    /// Sets the totals of the budgets from a configuration.
     pub fn set_totals(&mut self, config: &FleetConfig) {
         for team in &config.teams {
             let Some(prepaid) = team.prepaid else {
@@ -326,17 +333,17 @@
         self.group_samples = Rc::new(samples);
     }
 
-    /// One budget of each group that has the same holders.
+    /// One budget of each group; all budgets of a group have the same holders.
     pub fn group_samples(&self) -> Rc<Vec<BudgetName>> {
         Rc::clone(&self.group_samples)
     }
 
-    /// Budgets of the configuration.
+    /// Number of budgets in the configuration.
     pub fn budget_count(&self) -> usize {
         self.totals.len()
     }
 
-    /// Whether something of an own account is not settled in the store.
+    /// Whether the store lacks something of this instance's own accounts.
     pub fn has_unsettled_account(&self) -> bool {
         let mut held = self.held.values();
         !self.has_read_own_records()
@@ -390,7 +397,7 @@
         }
     }
 
-    /// Measures how long the oldest batch up to `number` took.
+    /// Updates the store's delay with the oldest batch up to `number`.
     fn measure_store_delay(&mut self, number: u64, now: Duration) {
         let mut oldest = None;
         while let Some((batch, at)) = self.sent.front().copied() {
@@ -407,8 +414,8 @@
         }
     }
 
-    /// The store has all batches up to `number`, the last of which ends before
-    /// the offset `end` of the stream.
+    /// Records that the store has all batches up to `number`, and that the last
+    /// of them ends before the offset `end` of the stream.
     pub fn acknowledge(&mut self, number: u64, end: Option<u64>, now: Duration) {
         self.acknowledged = number;
         self.measure_store_delay(number, now);
--- a/crates/hibiscus-traffic/src/budgets/handle.rs
+++ b/crates/hibiscus-traffic/src/budgets/handle.rs
@@ -1,4 +1,4 @@
-//! The desk as the tasks of the traffic thread share it.
+//! Shared access to the [`BudgetManager`] for the tasks of the traffic thread.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
 use crate::model::FleetConfig;
 use crate::tally::WorkTally;
 
-/// The desk as the tasks of the traffic thread share it.
+/// Shared access to the budgets for the tasks of the traffic thread.
 #[derive(Clone)]
 pub struct BudgetHandle {
     manager: Rc<RefCell<BudgetManager>>,
@@ -32,7 +32,7 @@
 }
 
 impl BudgetHandle {
-    /// Shares `manager`.
+    /// Creates a handle for `manager`.
     pub fn new(manager: BudgetManager) -> Self {
         Self {
             manager: Rc::new(RefCell::new(manager)),
@@ -280,7 +280,8 @@
         self.manager.borrow().log_budgets(keeps);
     }
 
-    /// Says that a request waits for `tokens` while the returned value lives.
+    /// Registers a request that waits for `tokens`, until the returned value is
+    /// dropped.
     pub fn wait_for(&self, budget: &BudgetName, tokens: TokenCount) -> TokenWaiter {
         let changed = self.manager.borrow_mut().add_waiter(budget, tokens);
         TokenWaiter {
@@ -298,7 +299,7 @@
     }
 }
 
-/// A request that waits for tokens.
+/// Registration of a request that waits for tokens.
 #[derive(Debug)]
 pub struct TokenWaiter {
     handle: BudgetHandle,
@@ -308,7 +309,7 @@
 }
 
 impl TokenWaiter {
-    /// OnDemand until the budget changed.
+    /// Waits until the budget changes.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/crates/hibiscus-traffic/src/budgets/recovery.rs
+++ b/crates/hibiscus-traffic/src/budgets/recovery.rs
@@ -1,4 +1,4 @@
-//! Accounts of earlier processes, and snapshots for later ones.
+//! Closes accounts of earlier processes, and writes snapshots for later ones.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use crate::budgets::RecoveryPhase;
 
 impl BudgetManager {
-    /// Begins anew with snapshots, since the records before `first` are gone.
+    /// Restarts from `snapshots`, because the records before `first` are gone.
     pub fn resume(&mut self, first: u64, snapshots: Vec<AccountSnapshot>) {
         let (fold, stale) = AccountFold::resume(first, snapshots);
         self.fold = fold;
@@ -29,14 +29,15 @@
         }
     }
 
-    /// How far the accounts of earlier processes are closed.
+    /// Progress in closing the accounts of this machine's earlier processes.
     pub fn recovery(&self) -> RecoveryPhase {
         self.recovery
     }
 
-    /// All records of the stream were applied: closes what earlier processes
-    /// of this machine left, as far as its clock proves what they spent. They
-    /// are known to have ended since their ports are held by this one.
+    /// Closes the accounts of this machine's earlier processes, as far as its
+    /// clock proves what they spent. Called once all records of the stream were
+    /// applied. The earlier processes have ended, because this one has their
+    /// ports.
     pub fn recover(&mut self) {
         if self.recovery != RecoveryPhase::Reading {
             return;
@@ -50,9 +51,9 @@
         };
     }
 
-    /// Closes what [`Self::recover`] left open. The processes before had ended
-    /// at the time of day `ended`, in milliseconds since the Unix epoch, if
-    /// several machines agree on one.
+    /// Closes the accounts that [`Self::recover`] left open. `ended` is a time
+    /// of day by which the earlier processes had ended, in milliseconds since
+    /// the Unix epoch, if several machines agree on one.
     pub fn close_unproven(&mut self, ended: Option<u64>) {
         if std::mem::replace(&mut self.recovery, RecoveryPhase::Complete) != RecoveryPhase::Unproven
         {
@@ -64,9 +65,9 @@
         });
     }
 
-    /// Machines with accounts of other processes than the present ones, which
-    /// `present` names. Those of the own machine are closed by
-    /// [`Self::recover`].
+    /// Machines with accounts of processes other than their present one, as
+    /// given by `present`. This machine is left out; [`Self::recover`] closes
+    /// its accounts.
     pub fn machines_with_ended_processes(
         &self,
         present: impl Fn(&InstanceName) -> Option<IncarnationId>,
@@ -85,9 +86,9 @@
         machines
     }
 
-    /// Closes the accounts of the processes of `machine` that ended before the
-    /// process `present` began, as far as its clock at its start proves what
-    /// they spent; returns how many are left.
+    /// Closes the accounts of the processes of `machine` that ended before
+    /// `present` began, as far as the machine's clock at that time (`began`)
+    /// proves what they spent. Returns the number of accounts that stay open.
     pub fn close_machine(
         &mut self,
         machine: &InstanceName,
@@ -97,8 +98,9 @@
         self.close_accounts("clock", machine, present, |held| held.spent_by_clock(began))
     }
 
-    /// As [`Self::close_machine`], for processes that had ended at the time of
-    /// day `ended`, in milliseconds since the Unix epoch, if one is agreed on.
+    /// Closes the accounts that [`Self::close_machine`] left open. `ended` is a
+    /// time of day by which the processes had ended, in milliseconds since the
+    /// Unix epoch, if several machines agree on one.
     pub fn close_machine_by_agreement(
         &mut self,
         machine: &InstanceName,
@@ -110,8 +112,9 @@
         });
     }
 
-    /// Closes the accounts of `machine` of other processes than `present` with
-    /// what `spent` says; returns how many it says nothing of.
+    /// Closes the accounts of the processes of `machine` other than `present`
+    /// with the amount that `spent` returns. Returns the number of accounts for
+    /// which it returns `None`.
     fn close_accounts(
         &mut self,
         proof: &str,
@@ -151,8 +154,8 @@
         open
     }
 
-    /// Whether the snapshot of `budget` is as old as it may be, and not the
-    /// present one.
+    /// Whether the last snapshot of `budget` is due for replacement and
+    /// outdated.
     pub(super) fn is_snapshot_due(&self, budget: &BudgetName, now: Duration) -> bool {
         if self.recovery == RecoveryPhase::Reading {
             return false;
@@ -171,8 +174,8 @@
         self.unsent_snapshots.push(snapshot);
     }
 
-    /// Writes the snapshots of all budgets, at the end of a planned stop: the
-    /// fleet may stay away for longer than records are kept.
+    /// Writes snapshots of all budgets at the end of a graceful shutdown,
+    /// because the fleet may stay away for longer than records are kept.
     pub fn write_snapshots(&mut self, now: Duration) {
         let names: Vec<BudgetName> = self.totals.keys().cloned().collect();
         for budget in names {
--- a/crates/hibiscus-traffic/src/budgets/review.rs
+++ b/crates/hibiscus-traffic/src/budgets/review.rs
@@ -1,4 +1,4 @@
-//! Draws, returns and reports: what goes to the store, and when.
+//! Decides on draws, returns and reports, and sends them to the store.
 
 use std::sync::mpsc::TrySendError;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use crate::budgets::BudgetManager;
 use crate::budgets::BudgetRole;
 
-/// Age from which on the line of a holder that spends nothing is made anew: a
-/// crash loses what the line has come to allow, though nothing was spent.
+/// Age at which a holder that spends nothing renews its limit. A crash loses
+/// what the limit allows by then, even if nothing was spent.
 const IDLE_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after which another holder than the first writes a total.
+/// Time after which a holder other than the first writes a total.
 const TOTAL_WRITE_DELAY: Duration = Duration::from_millis(500);
-/// Time after which a total that the stream does not show is written again.
+/// Time after which a total that is missing in the stream is written again.
 const TOTAL_REWRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl BudgetManager {
-    /// Decides on draws, returns and reports, and hands the records to the
-    /// thread that appends. `role_of` tells what this instance does for a
-    /// budget.
+    /// Decides on draws, returns and reports for all budgets, and sends the
+    /// records to the thread that appends them. `role_of` returns this
+    /// instance's role for a budget.
     pub fn review(&mut self, role_of: impl Fn(&BudgetName) -> BudgetRole, now: Duration) {
         let names: Vec<BudgetName> = self.totals.keys().cloned().collect();
         for budget in names {
@@ -45,8 +45,9 @@
         self.send(now);
     }
 
-    /// Decides on draws and reports of the budgets that requests wait for:
-    /// news of the stream concerns no other before the next look at all.
+    /// Decides on draws and reports for the budgets that requests wait for. New
+    /// records of the stream are irrelevant to other budgets until the next
+    /// full review.
     pub fn review_waiting(&mut self, role_of: impl Fn(&BudgetName) -> BudgetRole, now: Duration) {
         let names: Vec<BudgetName> = self.waiting.iter().cloned().collect();
         for budget in names {
@@ -55,30 +56,31 @@
         self.send(now);
     }
 
-    /// A planned stop has begun.
+    /// Begins a graceful shutdown.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
     }
 
-    /// Whether the store has all that was sent.
+    /// Whether the store has acknowledged all records and snapshots.
     pub fn is_acknowledged(&self) -> bool {
         let is_empty = self.unsent.is_empty() && self.unsent_snapshots.is_empty();
         is_empty && self.acknowledged + 1 >= self.batch
     }
 
-    /// Whether the own accounts were closed: no token is to be had any more.
+    /// Whether this instance's own accounts are closed, so that it can reserve
+    /// no more tokens.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Whether all that the store has of this holder was read back.
+    /// Whether all records that the store has from this holder were read back.
     pub fn has_read_own_records(&self) -> bool {
         self.fold.next_offset() >= self.appended
     }
 
-    /// Gives back all that no request has reserved, at the end of a planned
-    /// stop, and closes the accounts if no request is left: an account that
-    /// nobody closes stays in the store's snapshots for ever.
+    /// Returns all unreserved tokens at the end of a graceful shutdown, and
+    /// closes the accounts if no request is left. An account that nobody closes
+    /// stays in the store's snapshots forever.
     pub fn return_all_tokens(&mut self, now: Duration) {
         let mut held = self.held.values();
         self.closed = held.all(|held| held.quota.reserved().is_zero() && held.wanted.is_zero());
@@ -96,8 +98,9 @@
         self.send(now);
     }
 
-    /// Queues the end of the own account; from now on nothing of it is spent,
-    /// also if a draw is granted late.
+    /// Queues a record that closes this instance's own account of `budget`.
+    /// Nothing of the account is spent afterwards, even if a draw is granted
+    /// late.
     fn close_own(&mut self, budget: &BudgetName) {
         let Some(held) = self.held.get(budget) else {
             return;
@@ -109,8 +112,9 @@
         });
     }
 
-    /// Queues the total of the configuration if the stream shows another. The
-    /// first holder does so at once, the others if it did not.
+    /// Queues the total from the configuration if the stream has another one.
+    /// The first holder writes it at once, the others only if it is still
+    /// missing later.
     fn write_total(&mut self, budget: &BudgetName, writes_snapshots: bool, now: Duration) {
         let waits = self.waiting.contains(budget);
         let Some(total) = self.totals.get_mut(budget) else {
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Queues a report with the line that `decision` allows.
+    /// Queues a report with the spending limit from `decision`.
     pub(super) fn report(&mut self, budget: &BudgetName, decision: &DrawDecision, now: Duration) {
         let Some(held) = self.held.get_mut(budget) else {
             return;
--- a/crates/hibiscus-traffic/src/budgets/tokens.rs
+++ b/crates/hibiscus-traffic/src/budgets/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens that requests reserve, and those that instances give each other.
+//! Reserves tokens for requests, and transfers tokens between instances.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,21 +17,23 @@
 use crate::budgets::HeldBudget;
 use crate::budgets::TokenRefusal;
 
-/// Age of an unacknowledged batch from which on the store counts as away, so
-/// that nothing waits for it: it usually acknowledges within 10 ms.
+/// Age of an unacknowledged batch at which the store is considered unreachable
+/// and requests stop waiting for it. The store usually acknowledges within 10
+/// ms.
 const STORE_ACK_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time since the stream was read to its end after which what is known of a
-/// budget is too old to say that it is spent: a read waits for 1.5 s.
+/// Time since the stream was last read to its end after which its state is too
+/// old to refuse a request as `Spent`; a read waits for 1.5 s.
 const STREAM_AGE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Budgets whose levels are logged at a time.
+/// Largest number of budgets whose levels are logged at once.
 const LOGGED_BUDGETS_LIMIT: usize = 64;
-/// Time for which tokens that were passed on may come back: a request's
-/// longest time of 15 s, the rest before a return, and its way.
+/// Time in which transferred tokens may come back: the longest time of a
+/// request, 15 s, plus the delay before unused tokens are returned and the time
+/// of the transfer.
 const TRANSFER_RETURN_TIME: Duration = Duration::from_secs(20);
 
 impl HeldBudget {
-    /// Tokens that were passed on and may come back in part.
+    /// Transferred tokens that may still come back in part.
     pub(super) fn transferred(&self, now: Duration) -> TokenCount {
         let passed = self.transferred.iter();
         let recent =
@@ -41,11 +43,11 @@
 }
 
 impl BudgetManager {
-    /// Sets `tokens` of `budget` aside.
+    /// Reserves `tokens` of `budget`.
     ///
     /// # Errors
     ///
-    /// Fails when they were not drawn, or when no line allows them.
+    /// Fails if the tokens were not drawn, or if no spending limit allows them.
     pub fn reserve(
         &mut self,
         budget: &BudgetName,
@@ -63,13 +65,13 @@
         Ok(reservation)
     }
 
-    /// Counts a request that needs `tokens`.
+    /// Counts the demand of a request that needs `tokens`.
     pub fn count_demand(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let held = self.held.entry(budget.clone()).or_default();
         held.demand.reserve(tokens, now);
     }
 
-    /// Ends a reservation of which `charge` was used.
+    /// Ends a reservation of which `charge` tokens were used.
     pub fn settle(
         &mut self,
         budget: &BudgetName,
@@ -86,8 +88,8 @@
         held.changed.notify_waiters();
     }
 
-    /// Why `tokens` of `budget` cannot be had at `now`, or `None` while a
-    /// draw or a report on its way may still bring them.
+    /// Why `tokens` of `budget` cannot be reserved at `now`, or `None` while a
+    /// pending draw or report may still make them available.
     pub fn refusal(
         &self,
         budget: &BudgetName,
@@ -128,15 +130,15 @@
         }
     }
 
-    /// Tokens that were given back and that the stream, as far as it was read,
-    /// does not show as free yet.
+    /// Returned tokens that do not count as free yet in the part of the stream
+    /// that was read.
     fn unread_returns(&self, account: &BudgetAccount, held: &HeldBudget) -> TokenCount {
         let known = account.holders.get(&self.holder);
         let known = known.map_or(TokenCount::ZERO, |known| known.returned);
         held.quota.returned().saturating_sub(known)
     }
 
-    /// Takes tokens over that another instance gave.
+    /// Adds tokens that another instance transferred to this one.
     pub fn add_received(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let held = self.held.entry(budget.clone()).or_default();
         held.quota.add_received(tokens);
@@ -144,7 +146,7 @@
         held.changed.notify_waiters();
     }
 
-    /// Takes tokens back that an instance has no use for.
+    /// Takes back transferred tokens that another instance did not use.
     pub fn refund(&mut self, budget: &BudgetName, tokens: TokenCount) {
         let held = self.held.entry(budget.clone()).or_default();
         held.quota.refund(tokens);
@@ -153,7 +155,7 @@
     }
 
     /// Ends a reservation whose tokens go to an instance that does not hold the
-    /// budget: they count as spent here.
+    /// budget; they count as spent here.
     pub fn transfer(&mut self, budget: &BudgetName, reservation: QuotaReservation, now: Duration) {
         self.settle(budget, reservation, reservation.tokens, now);
         let held = self.held.entry(budget.clone()).or_default();
@@ -166,13 +168,13 @@
         }
     }
 
-    /// Tokens of `budget` that other instances gave and no request has reserved.
+    /// Unreserved tokens of `budget` received from other instances.
     pub fn received(&self, budget: &BudgetName) -> TokenCount {
         let held = self.held.get(budget);
         held.map_or(TokenCount::ZERO, |held| held.quota.received())
     }
 
-    /// Takes out what other instances gave and no request has used for `idle_time`.
+    /// Removes received tokens that no request has used for `idle_time`.
     pub fn take_idle_received(
         &mut self,
         idle_time: Duration,
@@ -189,7 +191,8 @@
         idle
     }
 
-    /// Logs why `tokens` of `budget` could not be had for the request `id`.
+    /// Logs why `tokens` of `budget` could not be reserved for the request
+    /// `id`.
     pub fn log_shortage(&self, id: &str, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let account = self.fold.budget(budget);
         let free = account.map(BudgetAccount::free).unwrap_or_default();
@@ -211,8 +214,8 @@
         );
     }
 
-    /// Logs the levels of the budgets that `keeps` names, as far as the stream
-    /// was read.
+    /// Logs the levels of the budgets that `keeps` selects, as of the last
+    /// record read.
     pub fn log_budgets(&self, keeps: impl Fn(&BudgetName) -> bool) {
         let budgets = self.fold.budgets().iter();
         for (budget, account) in budgets
@@ -234,8 +237,8 @@
         }
     }
 
-    /// Tokens over all budgets: free to spend here, reserved by requests, and
-    /// spent since the start.
+    /// Tokens over all budgets: available, reserved, and spent since the start
+    /// of the process.
     pub fn token_sums(&self) -> (u64, u64, u64) {
         let mut sums = (0, 0, 0);
         for held in self.held.values() {
@@ -246,14 +249,14 @@
         sums
     }
 
-    /// Tokens that may still be granted, over all budgets.
+    /// Tokens over all budgets that may still be granted.
     pub fn free_tokens(&self) -> u64 {
         let budgets = self.fold.budgets().values();
         budgets.map(|account| account.free().get()).sum()
     }
 
-    /// Says that a request waits for `tokens`; the returned signal tells of
-    /// changes.
+    /// Registers a request that waits for `tokens`. The returned signal reports
+    /// changes of the budget.
     pub fn add_waiter(&mut self, budget: &BudgetName, tokens: TokenCount) -> Rc<Notify> {
         let held = self.held.entry(budget.clone()).or_default();
         held.wanted = held.wanted + tokens;
@@ -261,7 +264,7 @@
         Rc::clone(&held.changed)
     }
 
-    /// Ends [`Self::add_waiter`].
+    /// Undoes [`Self::add_waiter`].
     pub fn remove_waiter(&mut self, budget: &BudgetName, tokens: TokenCount) {
         let held = self.held.entry(budget.clone()).or_default();
         held.wanted = held.wanted.saturating_sub(tokens);
@@ -270,7 +273,8 @@
         }
     }
 
-    /// Tokens that other holders have not reported as spent, or passed on.
+    /// Tokens of other holders that they have not reported as spent, or have
+    /// transferred and may get back.
     pub(super) fn unreported_elsewhere(&self, account: &BudgetAccount) -> TokenCount {
         let others = account.holders.iter();
         let others = others.filter(|(holder, _held)| **holder != self.holder);
--- a/crates/hibiscus-traffic/src/clock.rs
+++ b/crates/hibiscus-traffic/src/clock.rs
@@ -1,4 +1,4 @@
-//! The machine's clocks, comparable between its processes.
+//! The machine's clocks, whose readings can be compared between processes.
 
 use std::cell::Cell;
 use std::fs;
@@ -12,17 +12,17 @@
 use hibiscus_types::hash::stable_hash;
 use nix::time::ClockId;
 
-/// File that names the machine's present boot.
+/// File with the identifier of the machine's current boot.
 const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 
-/// Reads the clocks.
+/// Reads the machine's clocks.
 #[derive(Clone, Debug)]
 pub struct MachineClock {
     boot: u64,
     source: ClockSource,
 }
 
-/// Where the times come from.
+/// Source of the times.
 #[derive(Clone, Debug)]
 enum ClockSource {
     System,
@@ -31,14 +31,16 @@
 }
 
 impl MachineClock {
-    /// The clock of the present boot. Without a name of the boot, no two
-    /// times compare and nothing is proved by them.
+    /// Creates a clock of the current boot. If the boot has no identifier,
+    /// readings cannot be compared with those of other processes and prove
+    /// nothing.
     pub fn of_this_boot() -> Self {
         let boot = match fs::read(BOOT_ID_PATH) {
             Ok(id) => stable_hash(&[&id]).max(1),
             Err(error) => {
                 event!(EventCode::BootUnnamed, "cause={error}");
-                // Within this process the clock still compares with itself.
+                // Readings of this process can still be compared with each
+                // other.
                 fastrand::u64(1..)
             }
         };
@@ -48,7 +50,7 @@
         }
     }
 
-    /// A clock that shows the time that `now` holds.
+    /// Creates a clock that returns the time in `now`.
     pub fn simulated(now: Rc<Cell<MachineTime>>) -> Self {
         Self {
             boot: now.get().boot,
@@ -56,13 +58,13 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> MachineTime {
         if let ClockSource::Simulated(now) = &self.source {
             return now.get();
         }
         let now = ClockId::CLOCK_MONOTONIC.now().map(Duration::from);
-        // The call has no failure for this clock.
+        // The call cannot fail for this clock.
         let now = now.unwrap_or_default();
         MachineTime {
             boot: self.boot,
--- a/crates/hibiscus-traffic/src/holders.rs
+++ b/crates/hibiscus-traffic/src/holders.rs
@@ -1,12 +1,13 @@
-//! Which instances draw of a budget.
+//! Selection of the instances that hold a budget.
 //!
-//! In a large fleet only a few instances draw of each budget, and the others
-//! ask one of these for what a request needs. So what is appended, read and
-//! held of a budget does not grow with the fleet, and tokens are not spread so
-//! thin that nobody has enough for a request. Only holders follow the account
-//! stream. These are large machines, so that a whole fleet that starts finds
-//! them able to answer. The ranking may differ between instances for moments:
-//! any holder may draw, since the fold decides.
+//! In a large fleet only a few instances draw from each budget. The other
+//! instances request the tokens of each request from one of them. The records
+//! and tokens of a budget therefore do not grow with the fleet, and tokens are
+//! not spread so thin that no instance has enough for a request. Only holders
+//! read the account stream. Holders are large machines, so that they can
+//! respond when a whole fleet starts at once. Instances may briefly disagree on
+//! the ranking; that is harmless, because any instance may draw and the fold
+//! decides.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -21,38 +22,40 @@
 use crate::directory::InstanceDirectory;
 use crate::model::InstanceEntry;
 
-/// Instances that draw of a budget: enough that several may fail at once. A
-/// fleet of no more has no others.
+/// Number of instances that hold a budget: enough that several may fail at
+/// once. In a fleet of this size or smaller, every instance is a holder.
 pub const HOLDERS_PER_BUDGET: usize = 8;
-/// Time for which a holder that had no tokens is asked after the others.
+/// Time for which a failed holder is remembered: one that refused comes last,
+/// one that did not respond is skipped.
 const FAILURE_EXPIRY: Duration = Duration::from_secs(1);
-/// Refusals remembered.
+/// Largest number of remembered failures of each kind.
 const FAILURES_LIMIT: usize = 1_024;
-/// Budgets of one group, which have the same holders, while the groups are few.
+/// Budgets of one group, while the number of groups is below its limit. All
+/// budgets of a group have the same holders.
 const BUDGETS_PER_GROUP: usize = 64;
-/// Groups at the most, so that an instance asks a bounded number of others
-/// however many budgets there are.
+/// Largest number of groups, so that an instance requests tokens from a bounded
+/// number of others however many budgets there are.
 const GROUPS_LIMIT: usize = 16;
-/// Groups that one of the large machines takes part in at the most, before the
-/// smaller ones take part too.
+/// Largest number of groups that a large machine holds before smaller machines
+/// become holders too.
 const GROUPS_PER_LARGE_MACHINE: usize = 4;
-/// Part of the largest capacity from which on a machine is large.
+/// Ratio of the largest capacity from which on a machine counts as large.
 const LARGE_CAPACITY_RATIO: f64 = 0.5;
 
-/// Groups that `budgets` are divided into.
+/// Number of groups for `budgets` budgets.
 pub fn group_count(budgets: usize) -> u64 {
     let groups = budgets.div_ceil(BUDGETS_PER_GROUP).clamp(1, GROUPS_LIMIT);
     u64::try_from(groups).unwrap_or(u64::MAX)
 }
 
-/// The group of `budget` among `groups`.
+/// The group of `budget` among `groups` groups.
 pub fn group_of(budget: &BudgetName, groups: u64) -> u64 {
     stable_hash(&[budget.as_str().as_bytes()]) % groups.max(1)
 }
 
-/// The holders of the budgets of `group` among the instances that answer, in
-/// the order of their rank: large machines, and of each data centre one before
-/// the second of any.
+/// The holders of the budgets of `group`, ranked, out of the `answering`
+/// instances. Prefers large machines, and takes one instance of each data
+/// centre before the second of any.
 pub fn holders_of<'a>(
     group: u64,
     groups: u64,
@@ -75,7 +78,8 @@
     holders.take(HOLDERS_PER_BUDGET).collect()
 }
 
-/// The instances that may hold: the large machines, if these are enough.
+/// Instances that may become holders: only the large machines if there are
+/// enough of them.
 fn candidates(groups: u64, answering: Vec<&InstanceEntry>) -> Vec<&InstanceEntry> {
     let largest = answering.iter().map(|entry| entry.capacity).max();
     let least = f64::from(largest.unwrap_or_default()) * LARGE_CAPACITY_RATIO;
@@ -89,7 +93,7 @@
     answering.into_iter().filter(is_large).collect()
 }
 
-/// The holders of each group, remembered until the instances that answer
+/// Cache of the holders of each group, valid until the answering instances
 /// change.
 #[derive(Clone, Debug, Default)]
 pub struct HolderTable {
@@ -98,20 +102,20 @@
     by_group: BTreeMap<u64, Rc<GroupHolders>>,
 }
 
-/// The holders of the budgets of one group.
+/// Holders of the budgets of one group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupHolders {
-    /// How many there are.
+    /// Number of holders.
     pub count: u32,
-    /// The rank of this instance among them, if it is one.
+    /// Rank of this instance among the holders, if it is one.
     pub own_rank: Option<usize>,
-    /// Where the others take questions, in the order in which this instance
-    /// asks them.
+    /// Addresses for peer requests to the other holders, in the order in which
+    /// this instance contacts them.
     pub others: Vec<SocketAddr>,
 }
 
 impl HolderTable {
-    /// The holders of `budget`, one of `budgets`.
+    /// The holders of `budget`, where `budgets` is the number of all budgets.
     pub fn holders(
         &mut self,
         budget: &BudgetName,
@@ -142,8 +146,9 @@
     }
 }
 
-/// Orders `holders` as `requester` asks them: those in its data centre first, and
-/// spread evenly over the askers within the two groups.
+/// Orders `holders` for `requester`: first those in its data centre, then the
+/// others. Within both parts the order differs between requesters, to spread
+/// the load evenly.
 pub fn order_for(requester: &InstanceEntry, holders: &mut [&InstanceEntry]) {
     let own = requester.name.as_str().as_bytes();
     holders.sort_by_cached_key(|holder| {
@@ -152,17 +157,17 @@
     });
 }
 
-/// Holders that lately had no tokens of a budget, or did not answer.
+/// Holders that recently had no tokens of a budget or did not respond.
 #[derive(Clone, Debug, Default)]
 pub struct HolderFailures {
     refused: BTreeMap<(BudgetName, SocketAddr), Duration>,
     unresponsive: BTreeMap<SocketAddr, Duration>,
-    /// When each of them answered last.
+    /// When each holder last responded.
     responded: BTreeMap<SocketAddr, Duration>,
 }
 
 impl HolderFailures {
-    /// Notes that `holder` had no tokens of `budget` at `now`.
+    /// Records that `holder` had no tokens of `budget` at `now`.
     pub fn note_refusal(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
         if self.refused.len() >= FAILURES_LIMIT {
             self.refused.retain(|_holder, at| is_recent(*at, now));
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Notes that `holder` did not answer at `now`.
+    /// Records that `holder` did not respond at `now`.
     pub fn note_no_response(&mut self, holder: SocketAddr, now: Duration) {
         if self.unresponsive.len() >= FAILURES_LIMIT {
             self.unresponsive.retain(|_holder, at| is_recent(*at, now));
@@ -180,7 +185,7 @@
         self.unresponsive.insert(holder, now);
     }
 
-    /// Puts the holders that refused lately behind the others.
+    /// Moves the holders that recently refused to the end.
     pub fn sort(&self, budget: &BudgetName, holders: &mut [SocketAddr], now: Duration) {
         holders.sort_by_cached_key(|holder| {
             let refused = self.refused.get(&(budget.clone(), *holder));
@@ -188,16 +193,16 @@
         });
     }
 
-    /// Orders the holders to ask at `now`, without those that were silent
-    /// lately: one question finds out whether such a holder answers again, and
-    /// not one for each request.
+    /// Orders the holders for requests at `now`, without those that recently
+    /// did not respond. After that time a single request, not every one, checks
+    /// whether such a holder responds again.
     pub fn choose(&mut self, budget: &BudgetName, holders: &mut Vec<SocketAddr>, now: Duration) {
         holders.retain(|holder| {
             let unresponsive = self.unresponsive.get(holder);
             !unresponsive.is_some_and(|at| is_recent(*at, now))
         });
         for holder in holders.iter() {
-            // The next requests ask others until this one's question is over.
+            // Until this check completes, other requests skip the holder.
             if let Some(unresponsive) = self.unresponsive.get_mut(holder) {
                 *unresponsive = now;
             }
@@ -205,7 +210,7 @@
         self.sort(budget, holders, now);
     }
 
-    /// Notes that `holder` answered at `now`.
+    /// Records that `holder` responded at `now`.
     pub fn note_response(&mut self, holder: SocketAddr, now: Duration) {
         self.unresponsive.remove(&holder);
         if self.responded.len() >= FAILURES_LIMIT {
@@ -214,9 +219,9 @@
         self.responded.insert(holder, now);
     }
 
-    /// Notes that `holder` has not answered a question about `budget` for a
-    /// while: it waits for the store, or is silent if it answered no other
-    /// question either.
+    /// Records that a response of `holder` about `budget` is late. If the
+    /// holder recently responded to anything, it is waiting for the store and
+    /// counts as refusing; otherwise it counts as unresponsive.
     pub fn note_late_response(&mut self, budget: &BudgetName, holder: SocketAddr, now: Duration) {
         let responded = self.responded.get(&holder);
         if responded.is_some_and(|at| is_recent(*at, now)) {
@@ -227,7 +232,7 @@
     }
 }
 
-/// Whether a refusal at `at` still counts at `now`.
+/// Whether a failure at `at` still counts at `now`.
 fn is_recent(at: Duration, now: Duration) -> bool {
     now.saturating_sub(at) < FAILURE_EXPIRY
 }
--- a/crates/hibiscus-traffic/src/memory_pressure.rs
+++ b/crates/hibiscus-traffic/src/memory_pressure.rs
@@ -1,20 +1,21 @@
-//! What a process does as its memory runs out.
+//! Reaction of a process to memory pressure.
 //!
-//! The system kills a process that exceeds its memory, and every request on it
-//! is lost. Before that, what can be had again is dropped, then callers are
-//! told to go elsewhere while the requests in progress end.
+//! The system kills a process that exceeds its memory, and all its requests are
+//! lost. Before that, the process first drops what it can recreate, and then
+//! refuses new requests while those in progress finish.
 
-/// Part of the memory from which on kept connections are dropped.
+/// Ratio of the memory at which kept connections are dropped.
 const TIGHT_RATIO: f64 = 0.80;
-/// Part of the memory from which on callers are refused. The rest is for what
-/// the requests in progress may still take until the next look, and for bytes
-/// that the system counts and the process has not read.
+/// Ratio of the memory at which callers are refused. The rest is for memory
+/// that requests in progress take before the next check, and for bytes that the
+/// system counts but that the process has not read yet.
 const FULL_RATIO: f64 = 0.88;
-/// Part of the memory that use must fall by before a level is left, so that it
-/// is not entered and left by turns.
+/// Ratio of the memory by which use must fall below a level's threshold to
+/// leave the level, so that the level does not flap.
 const HYSTERESIS_RATIO: f64 = 0.04;
-/// Requests in progress up to which a process whose memory is full takes one
-/// more: freed memory stays with the process, so it may look full for ever.
+/// Largest number of requests in progress at which a process with full memory
+/// still accepts another one. Freed memory stays with the process, so its
+/// memory may look full forever.
 pub const FULL_REQUEST_LIMIT: usize = 4;
 
 /// How much of its memory a process uses.
@@ -23,20 +24,21 @@
     /// There is room.
     #[default]
     Calm,
-    /// What can be had again is to be dropped.
+    /// The process drops what it can recreate.
     Tight,
-    /// New requests are to be refused.
+    /// The process refuses new requests.
     Full,
 }
 
 impl MemoryPressure {
-    /// Whether one more request may begin while `in_progress` have not ended.
+    /// Whether another request may begin while `in_progress` requests are
+    /// running.
     pub fn admits(self, in_progress: usize) -> bool {
         self < Self::Full || in_progress <= FULL_REQUEST_LIMIT
     }
 }
 
-/// Tells the level from what the process uses.
+/// Determines the memory pressure from the memory in use.
 #[derive(Clone, Copy, Debug)]
 pub struct PressureGauge {
     memory: usize,
@@ -44,7 +46,7 @@
 }
 
 impl PressureGauge {
-    /// A gauge of a process that is killed beyond `memory` bytes.
+    /// Creates a gauge for a process that is killed beyond `memory` bytes.
     pub fn new(memory: usize) -> Self {
         Self {
             memory,
@@ -52,12 +54,12 @@
         }
     }
 
-    /// The level at the last look.
+    /// The level at the last observation.
     pub fn level(&self) -> MemoryPressure {
         self.level
     }
 
-    /// Takes over that `used` bytes are in use; true when the level changed.
+    /// Records that `used` bytes are in use. Returns whether the level changed.
     pub fn observe(&mut self, used: usize) -> bool {
         let used = used as f64 / self.memory.max(1) as f64;
         let reached = |part: f64, level: MemoryPressure| {
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -1,14 +1,15 @@
-//! Closes what processes that ended left.
+//! Closes the accounts of ended processes.
 //!
-//! A holder closes the accounts of the processes before it. After a loss of
-//! power the machine's steady clock began anew and proves nothing; then others
-//! are asked for their time of day. How these times make a proof, see
-//! [`hibiscus_ledger::account::agreement`].
+//! A holder closes the accounts of its machine's earlier processes. After a
+//! power loss the machine's monotonic clock has restarted and proves nothing;
+//! the holder then requests the time of day from other instances. See
+//! [`hibiscus_ledger::account::agreement`] for how these times form a proof.
 //!
-//! An instance that holds no budget any more does not follow the account
-//! stream. The first holder closes what was left on its machine: it asks the
-//! process that answers there now who it is. That process has the machine's
-//! ports, so every other one of which the stream tells had ended when it began.
+//! An instance that no longer holds a budget does not read the account stream.
+//! The first holder closes the accounts left on that machine: it asks the
+//! machine's present process for its incarnation. Since that process has the
+//! machine's ports, all other processes with accounts there had ended when it
+//! began.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,22 +29,22 @@
 use crate::peers;
 use crate::state::TrafficState;
 
-/// Instances asked, so that of five readings three may be wrong; each new
-/// connection costs 7 ms of a core.
+/// Largest number of instances whose time is requested, so that of five
+/// readings three may be wrong. Each new connection costs 7 ms of a core.
 const PEER_LIMIT: usize = 4;
-/// Time between two looks for accounts of processes that ended elsewhere.
+/// Time between two checks for accounts of ended processes on other machines.
 const ENDED_PROCESSES_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two rounds of questions: after a power cut of all machines the
+/// Time between two rounds of requests. After a power cut of all machines, the
 /// others announce themselves within half a second.
 const ROUND_INTERVAL: Duration = Duration::from_millis(150);
-/// Time for which more answers than the fewest are waited for.
+/// Time to wait for more readings once there are the fewest that suffice.
 const EXTRA_READINGS_TIME: Duration = Duration::from_millis(600);
-/// Time after which too few answers are given up: machines that are not back
-/// by then may never be.
+/// Time after which gathering stops with too few readings: machines that are
+/// not back by then may never return.
 const GATHER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// OnDemand until the account stream was read, and closes by agreement what was
-/// left without a proof.
+/// Waits until the account stream was read, then closes by agreement the
+/// accounts that the clock could not close.
 pub async fn close_unproven<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     while state.budgets.recovery() == RecoveryPhase::Reading {
         tokio::time::sleep(ROUND_INTERVAL).await;
@@ -61,8 +62,8 @@
     state.review_budgets();
 }
 
-/// Closes the accounts of processes that ended on other machines for as long as
-/// the runtime runs.
+/// Closes the accounts of ended processes on other machines. Runs as long as
+/// the runtime.
 pub async fn close_ended_processes<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Closes what processes that ended on `machine` left.
+/// Closes the accounts of ended processes on `machine`.
 async fn close_machine<D: RequestDialect>(state: &TrafficState<D>, machine: &InstanceName) {
     let link = state.link.borrow().clone();
     let peer = state
@@ -123,9 +124,10 @@
     state.review_budgets();
 }
 
-/// Times of day at `began`, when a process had the ports of its machine, by the
-/// clocks of this machine and of others. Each is later than the process before
-/// ended: an answer is made after it was asked for.
+/// Gathers times of day for `began`, when a process got the ports of its
+/// machine, from the clocks of this and other machines. Each reading is later
+/// than the end of the previous process, because it is made after its request
+/// was sent.
 async fn gather_readings<D: RequestDialect>(state: &TrafficState<D>, began: Duration) -> Vec<u64> {
     let gathering_since = state.now();
     let own = at_start(
@@ -146,7 +148,7 @@
     responses.into_values().chain([own]).collect()
 }
 
-/// Asks the instances that have not answered yet.
+/// Requests the time from instances that have not responded yet.
 async fn request_readings<D: RequestDialect>(
     state: &TrafficState<D>,
     began: Duration,
@@ -155,7 +157,8 @@
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
-    // There are links to the other holders; a new one costs a handshake.
+    // Connections to the other holders are open already; a new one costs a
+    // handshake.
     let mut holders = state.fellow_holders();
     let mut others = state.directory.borrow().peers();
     others.retain(|other| !holders.contains(other));
@@ -171,8 +174,8 @@
     }
 }
 
-/// The time of day at the start, by a reading made no sooner than `since`
-/// after it.
+/// Converts a reading made at least `since` after the start to a time of day at
+/// the start.
 fn at_start(reading: u64, since: Duration) -> u64 {
     let since = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
     reading.saturating_sub(since)
--- a/crates/hibiscus-traffic/src/shares.rs
+++ b/crates/hibiscus-traffic/src/shares.rs
@@ -1,55 +1,55 @@
-//! What each duty may take of the machine's memory and descriptors.
+//! Limits on the memory and file descriptors that parts of a process may use.
 //!
-//! One budget for all: the shares together stay below what the machine gives a
-//! process, since beyond it the system kills the process.
+//! All limits together stay below what the machine gives the process, because
+//! the system kills a process that uses more.
 
 use crate::callers::CallerBounds;
 
-/// Memory of the program with its libraries and tables, in bytes: 13 to 15 MB
-/// of idle instances of a fleet of 62.
+/// Memory of the program with its libraries and tables, in bytes. Idle
+/// instances of a fleet of 62 use 13 to 15 MB.
 const PROGRAM_BYTES: usize = 16_000_000;
-/// Largest part of the memory that is set aside for the program, so that a
-/// machine of less memory still serves.
+/// Largest ratio of the memory that is set aside for the program, so that a
+/// machine with less memory still serves.
 const PROGRAM_RATIO: f64 = 0.5;
-/// Memory of a caller's connection with a request, in bytes: two buffers of
-/// 8 KiB, its tasks and the kernel's part of what is unread; 16 KiB were
-/// measured for an open stream.
+/// Memory of a caller's connection with a request, in bytes: two buffers of 8
+/// KiB, its tasks and the kernel's buffer of unread bytes. An open stream uses
+/// 16 KiB.
 const CALLER_CONNECTION_BYTES: usize = 24 * 1024;
 /// Memory of a connection to a server, in bytes: two buffers of 8 KiB and its
 /// task.
 const SERVER_CONNECTION_BYTES: usize = 20 * 1024;
-/// Part that callers' connections with requests take, the connections to their
-/// servers included.
+/// Ratio of the memory for callers' connections with requests, including the
+/// connections to their servers.
 const CALLERS_RATIO: f64 = 0.40;
-/// Part that callers' bodies take.
+/// Ratio of the memory for request bodies.
 const BODIES_RATIO: f64 = 0.15;
-/// Part that idle connections to servers take.
+/// Ratio of the memory for idle connections to servers.
 const IDLE_RATIO: f64 = 0.15;
-/// Part for pages of the store, the link to the other instances, and memory
-/// that was freed and is not used again at once.
+/// Ratio of the memory for pages read from the store, the link to the other
+/// instances, and freed memory that is not reused at once.
 const RESERVE_RATIO: f64 = 0.30;
-/// Part of the descriptors that callers' connections take.
+/// Ratio of the descriptors for callers' connections.
 const CALLER_DESCRIPTOR_RATIO: f64 = 0.6;
-/// Part of the descriptors that idle connections to servers take; the rest is
-/// for servers in use, instances, the store and files.
+/// Ratio of the descriptors for idle connections to servers. The rest is for
+/// servers in use, instances, the store and files.
 const IDLE_DESCRIPTOR_RATIO: f64 = 0.2;
 
-/// The bounds of one process.
+/// Resource limits of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryShares {
-    /// What callers may take.
+    /// Limits for callers.
     pub callers: CallerBounds,
-    /// Idle connections to all servers.
+    /// Largest number of idle connections to all servers.
     pub idle_links: usize,
     /// Memory beyond which the process is killed, in bytes.
     pub memory: usize,
-    /// Part of it that no bound gives out, in bytes.
+    /// Memory that no limit assigns, in bytes.
     pub reserve: usize,
 }
 
 impl MemoryShares {
-    /// The bounds of a machine that gives a process `memory` bytes and
-    /// `descriptors`.
+    /// Computes the limits on a machine that gives a process `memory` bytes and
+    /// `descriptors` file descriptors.
     pub fn of_machine(memory: usize, descriptors: usize) -> Self {
         let left = memory - program_bytes(memory);
         let bounded = |part: f64, each: usize, descriptors_part: f64| {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Memory that the process takes when all bounds are reached, in bytes.
+    /// Memory of the process when all limits are reached, in bytes.
     pub fn max_memory(&self) -> usize {
         let callers =
             self.callers.connections * (CALLER_CONNECTION_BYTES + SERVER_CONNECTION_BYTES);
@@ -81,7 +81,7 @@
     }
 }
 
-/// Memory that is set aside for the program, in bytes.
+/// Memory set aside for the program, in bytes.
 fn program_bytes(memory: usize) -> usize {
     PROGRAM_BYTES.min((memory as f64 * PROGRAM_RATIO) as usize)
 }
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -1,11 +1,11 @@
-//! Where the tokens of a request come from.
+//! Reserves the tokens of requests.
 //!
-//! A holder of the budget draws from the store what it lacks. An instance that
-//! does not hold the budget asks a holder for each request, and so does a holder
-//! that cannot draw: the holder counts the tokens as
-//! spent before it answers, so a lost answer loses tokens and spends none
-//! twice. What requests leave is used for the next ones, and goes back to a
-//! holder after a rest.
+//! A holder of a budget draws missing tokens from the store. An instance that
+//! does not hold the budget requests the tokens of each request from a holder,
+//! and so does a holder that cannot draw. The responding holder counts the
+//! tokens as spent before it responds, so a lost response loses tokens but
+//! never lets them be spent twice. Tokens that a request leaves unused serve
+//! the next requests, and go back to a holder after a delay.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,36 +29,38 @@
 use crate::tally::PeerRequestKind;
 use crate::tally::PeerRequestOutcome;
 
-/// Longest wait for tokens of a budget: a draw takes two store calls, each of
-/// which takes up to 0.25 s while the store is slow.
+/// Longest wait for a draw: a draw takes two store calls, each of which takes
+/// up to 0.25 s while the store is slow.
 const DRAW_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time that a request waits for the holders that it asks.
+/// Longest wait of a request for the responses of holders.
 const HOLDERS_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time after which the next holder is asked too: an answer takes a few
-/// milliseconds, and a draw some twenty.
+/// Time after which the next holder is requested too: a response takes a few
+/// milliseconds, or about twenty if the holder draws.
 const NEXT_HOLDER_DELAY: Duration = Duration::from_millis(120);
-/// Time for a holder's answer. One that comes after the request stopped to wait
-/// still brings its tokens, for the next request.
+/// Timeout for a holder's response. A response that arrives after its request
+/// gave up still brings tokens for the next request.
 const HOLDER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Holders asked for one request: one without the store says at once that it
-/// has too little, and a third of them may be without it.
+/// Largest number of holders requested for one request. A holder that cannot
+/// reach the store refuses at once if it has too few tokens, and a third of the
+/// holders may be in that state.
 const HOLDER_REQUEST_LIMIT: usize = 4;
-/// Time after which tokens that no request used go back to a holder.
+/// Time after which received tokens that no request used go back to a holder.
 const RECEIVED_TOKENS_RETURN_DELAY: Duration = Duration::from_millis(400);
 
-/// Time that a planned stop waits for tokens to be brought back: what was drawn
-/// must go back after it.
+/// Time that a graceful shutdown waits for received tokens to be sent back;
+/// drawn tokens are returned to the store after that.
 const SHUTDOWN_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Result of getting tokens.
+/// Result of reserving tokens.
 pub type Result<T> = std::result::Result<T, TokenRefusal>;
 
-/// Reserves `tokens` of `budget` for a request that waits until `deadline` at the
-/// most.
+/// Reserves `tokens` of `budget` for a request that waits until `deadline` at
+/// the latest.
 ///
 /// # Errors
 ///
-/// Fails when the budget does not cover them, or when nobody in reach has them.
+/// Fails if the budget does not cover the tokens, or if no reachable instance
+/// has them.
 pub async fn reserve<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
@@ -74,22 +76,24 @@
         Err(TokenRefusal::Spent) => return Err(TokenRefusal::Spent),
         Err(refusal) => refusal,
     };
-    // Another holder may reach the store.
+    // Another holder may be able to reach the store.
     let received = reserve_received(state, budget, tokens, deadline).await;
     received.map_err(|other| refusal.or_sooner(other))
 }
 
-/// Passes `tokens` on to an instance that does not hold `budget`.
+/// Transfers `tokens` to an instance that does not hold `budget`.
 ///
 /// # Errors
 ///
-/// Fails when the budget does not cover them, or when they cannot be had here.
+/// Fails if the budget does not cover the tokens, or if this instance cannot
+/// reserve them.
 pub async fn transfer<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
 ) -> Result<()> {
-    // One that does not follow the stream learns of no draw.
+    // An instance that does not read the stream never gets the result of a
+    // draw.
     if state.budgets.is_closed() || !state.follows_accounts() {
         return Err(TokenRefusal::Unconfirmed);
     }
@@ -104,8 +108,8 @@
     Ok(())
 }
 
-/// Sends tokens that no request used for a while back to a holder; a holder
-/// has them in its account then.
+/// Returns received tokens that no request used for a while: to a holder, or to
+/// this instance's own account if it is a holder itself.
 pub fn return_idle<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
     for (budget, tokens) in state
         .budgets
@@ -119,20 +123,20 @@
     }
 }
 
-/// Sends all that others gave to other holders, at the end of a planned stop,
-/// and waits for their answers as long as the stop allows.
+/// Sends all received tokens to other holders at the end of a graceful
+/// shutdown, and waits for their responses as long as the shutdown allows.
 pub async fn return_all<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
     let mut returns = JoinSet::new();
     for (budget, tokens) in state.budgets.take_idle_received(Duration::ZERO) {
         returns.spawn_local(return_tokens(Rc::clone(state), budget, tokens));
     }
-    // Tokens whose answers are late may still arrive.
+    // Tokens may still arrive at a holder whose response is late.
     let _late = tokio::time::timeout(SHUTDOWN_RETURN_TIMEOUT, returns.join_all()).await;
 }
 
-/// Brings `tokens` back to one holder, which is asked once: an answer may be
-/// lost, and the tokens must not count twice. A holder that refuses has not
-/// taken them.
+/// Sends `tokens` back to a single holder and does not retry: if only the
+/// response was lost, a retry would count the tokens twice. A holder that
+/// refuses has not taken them.
 async fn return_tokens<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     budget: BudgetName,
@@ -158,7 +162,8 @@
     }
 }
 
-/// OnDemand for a draw or a report that brings the tokens.
+/// Reserves tokens of this instance, and waits for a draw or a report that
+/// makes them available.
 async fn reserve_drawn<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
@@ -178,7 +183,7 @@
         let retry_after = refusal.and_then(TokenRefusal::retry_after);
         let wait = match (refusal, retry_after) {
             (None, _) => left,
-            // The line of a holder without the store allows it soon.
+            // The limit of a holder without the store allows the tokens soon.
             (Some(_later), Some(retry_after)) if retry_after < left => retry_after,
             (Some(refusal), _) => return Err(refusal),
         };
@@ -187,15 +192,16 @@
             return Err(TokenRefusal::Unconfirmed);
         }
         if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
-            // One that is refused comes back, and would count twice.
+            // Counted only on success: a refused request is retried and would
+            // count twice.
             state.budgets.count_demand(budget, tokens);
             return Ok(reservation);
         }
     }
 }
 
-/// Reserves from what holders give. One after the other is asked, the next one
-/// also when the one before has not answered for a while.
+/// Reserves tokens that holders transfer. Requests them from one holder after
+/// another, and continues with the next one if a response is late.
 async fn reserve_received<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
@@ -255,8 +261,9 @@
     }
 }
 
-/// Asks one holder; what it gives can be reserved once `responses` tells so. The
-/// question goes on when the request ends, so that its tokens are not lost.
+/// Requests tokens from one holder and sends the outcome to `responses`; the
+/// tokens can be reserved by then. The call continues if the request ends, so
+/// that its tokens are not lost.
 fn request_tokens<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     holder: SocketAddr,
@@ -311,7 +318,7 @@
         state
             .tally
             .count_peer_request(PeerRequestKind::Link, outcome);
-        // A request that ended needs no answer.
+        // The request may have ended already.
         let _ended = responses.send(response);
     });
 }
--- a/crates/hibiscus-traffic/src/tally.rs
+++ b/crates/hibiscus-traffic/src/tally.rs
@@ -1,46 +1,47 @@
-//! Counts of the work that a process does for the fleet, not for a request.
+//! Counters of the work that a process does for the fleet rather than for a
+//! request.
 //!
-//! A count costs no more than an addition; the sums reach the metrics with the
-//! levels.
+//! Counting costs no more than an addition; the sums are published as metrics
+//! together with the levels.
 
 use std::cell::Cell;
 
 use hibiscus_types::TokenCount;
 use metrics::counter;
 
-/// What a question to another instance is about.
+/// Kind of a request to another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerRequestKind {
-    /// Whether it serves.
+    /// Whether the instance serves.
     Readiness,
-    /// Tokens, or the time of day.
+    /// A request over the peer link: tokens, or the time of day.
     Link,
 }
 
-/// How a question to another instance ended.
+/// Outcome of a request to another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerRequestOutcome {
-    /// It was answered.
+    /// The instance responded.
     Answered,
-    /// The answer is that it does not serve, or gives nothing.
+    /// The instance responded that it does not serve, or has no tokens.
     Refused,
-    /// No answer came in time.
+    /// No response came in time.
     Unanswered,
 }
 
 /// How much of a draw was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrawOutcome {
-    /// All that was asked for.
+    /// All requested tokens.
     Whole,
-    /// Some of it.
+    /// Some of the requested tokens.
     Part,
-    /// Nothing.
+    /// No tokens.
     Nothing,
 }
 
 impl DrawOutcome {
-    /// The outcome when `granted` of `asked` tokens came.
+    /// The outcome of a draw of `asked` tokens that was granted `granted`.
     pub fn of(asked: TokenCount, granted: TokenCount) -> Self {
         if granted.is_zero() {
             Self::Nothing
@@ -55,18 +56,18 @@
 /// Why this instance closed a caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was idle, and a new one needed its room.
+    /// The connection was idle, and a new one needed its room.
     Room,
-    /// Its head took too long.
+    /// The request's head took too long to arrive.
     SlowHead,
-    /// There was no room for it.
+    /// There was no room for the connection.
     Full,
-    /// The instance stops.
+    /// The instance shuts down.
     Stopping,
 }
 
 impl CloseReason {
-    /// The word for logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Room => "room",
@@ -77,32 +78,32 @@
     }
 }
 
-/// One count.
+/// A counter of events.
 #[derive(Debug, Default)]
 pub struct EventCount(Cell<u64>);
 
 impl EventCount {
-    /// Counts one more.
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count.
+    /// The current count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct WorkTally {
-    /// Account records that were folded.
+    /// Account records that were applied.
     pub records: EventCount,
-    /// Looks at a budget, each time counted.
+    /// Budget reviews.
     pub reviews: EventCount,
-    /// Readiness questions of other instances, and of the platform.
+    /// Readiness requests received from other instances and from the platform.
     pub readiness_requests: EventCount,
-    /// Questions of other instances over the link.
+    /// Requests received from other instances over the peer link.
     pub link_requests: EventCount,
     draws: [EventCount; 3],
     readiness: [EventCount; 3],
@@ -111,22 +112,22 @@
 }
 
 impl WorkTally {
-    /// Counts the verdict of a draw.
+    /// Counts a draw.
     pub fn count_draw(&self, outcome: DrawOutcome) {
         self.draws[outcome as usize].add();
     }
 
-    /// Draws with that verdict.
+    /// Number of draws with this outcome.
     pub fn draws(&self, outcome: DrawOutcome) -> u64 {
         self.draws[outcome as usize].get()
     }
 
-    /// Counts the end of a question to another instance.
+    /// Counts a request to another instance.
     pub fn count_peer_request(&self, subject: PeerRequestKind, outcome: PeerRequestOutcome) {
         self.peer_request_counts(subject)[outcome as usize].add();
     }
 
-    /// Questions about `subject` that ended so.
+    /// Number of requests of the kind `subject` with this outcome.
     pub fn peer_requests(&self, subject: PeerRequestKind, outcome: PeerRequestOutcome) -> u64 {
         self.peer_request_counts(subject)[outcome as usize].get()
     }
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Shows the counts on the metrics' address.
+    /// Publishes the counters as metrics.
     pub fn publish(&self) {
         counter!("hibiscus_account_records_total").absolute(self.records.get());
         counter!("hibiscus_budget_reviews_total").absolute(self.reviews.get());
--- a/crates/hibiscus-traffic/src/usage_log.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -1,7 +1,8 @@
-//! Tells in the log how much of the machine the process uses.
+//! Logs how much of the machine the process uses.
 //!
-//! The volume is bounded: a line of levels every few seconds, and one line
-//! each time that memory or lateness has risen to its mark.
+//! The volume is bounded: one line with all levels every few seconds, and one
+//! line each time the memory use or the timer lateness rises above its
+//! threshold.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,31 +19,31 @@
 use crate::tally::PeerRequestOutcome;
 use crate::tally::WorkTally;
 
-/// Part of the memory at which it nears the limit.
+/// Ratio of the memory at which use is logged as near the limit.
 const MEMORY_HIGH: f64 = 0.75;
-/// Part of the memory below which the next rise is told again.
+/// Ratio of the memory below which the next rise is logged again.
 const MEMORY_LOW: f64 = 0.65;
-/// Lateness of the timer that is told, in seconds: half of what an answer to
-/// another instance may take.
+/// Timer lateness that is logged, in seconds: half of the longest time for a
+/// response to another instance.
 const LATE_HIGH: f64 = 0.3;
-/// Lateness below which the next rise is told again, in seconds.
+/// Timer lateness below which the next rise is logged again, in seconds.
 const LATE_LOW: f64 = 0.05;
-/// Looks at the levels for one line of them.
+/// Checks of the levels for each line that is logged.
 const CHECKS_PER_LINE: u32 = 3;
 
-/// Follows what the process uses of its machine.
+/// Logs the resource use of the process.
 #[derive(Debug)]
 pub struct UsageLogger {
     limits: MachineLimits,
     memory: RefCell<LevelWatch>,
     lateness: RefCell<LevelWatch>,
-    /// Worst lateness since the last line of levels.
+    /// Largest lateness since the last line of levels.
     max_lateness: Cell<Duration>,
     checks: Cell<u32>,
 }
 
 impl UsageLogger {
-    /// Follows a process that has `limits`.
+    /// Creates a logger for a process with these `limits`.
     pub fn new(limits: MachineLimits) -> Self {
         Self {
             limits,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The timer was late by `delay`.
+    /// Records that the timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
         self.max_lateness.set(self.max_lateness.get().max(delay));
         if self.lateness.borrow_mut().rises(delay.as_secs_f64()) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Takes the present levels; whether they were told.
+    /// Records the present levels. Returns whether they were logged.
     pub fn note_levels(&self, levels: &TrafficLevels, tally: &WorkTally) -> bool {
         let memory = self.limits.memory_bytes.max(1) as f64;
         let part = levels.used.resident_bytes as f64 / memory;
--- a/crates/hibiscus-traffic/tests/budgets.rs
+++ b/crates/hibiscus-traffic/tests/budgets.rs
@@ -141,10 +141,10 @@
     let mut case = ManagerCase::start();
     let budget = budget(0);
     case.review(Duration::ZERO);
-    let reservation = case
+    let hold = case
         .manager
         .reserve(&budget, TokenCount::new(10), Duration::ZERO);
-    assert!(reservation.is_ok(), "{reservation:?}");
+    assert!(hold.is_ok(), "{hold:?}");
     case.manager.return_all_tokens(Duration::from_secs(1));
     let batch = case.batches.try_recv().expect("a batch");
     let mut records = batch.records.iter();
