--- a/crates/hibiscus-ledger/src/account/policy.rs
+++ b/crates/hibiscus-ledger/src/account/policy.rs
@@ -205,14 +205,14 @@
         return 0.0;
     }
     let remaining = inputs.free + inputs.unreported;
-    let part = remaining.get() as f64 / inputs.prepaid.get() as f64;
+    let ratio = remaining.get() as f64 / inputs.prepaid.get() as f64;
     let [little, plenty] = PLENTY_RATIOS;
-    ((part - little) / (plenty - little)).clamp(0.0, 1.0)
+    ((ratio - little) / (plenty - little)).clamp(0.0, 1.0)
 }
 
 /// Interpolates linearly between two durations.
-fn interpolate([from, to]: [Duration; 2], part: f64) -> Duration {
-    from.mul_f64(1.0 - part) + to.mul_f64(part)
+fn interpolate([from, to]: [Duration; 2], ratio: f64) -> Duration {
+    from.mul_f64(1.0 - ratio) + to.mul_f64(ratio)
 }
 
 /// Share of the remaining tokens that this holder may keep: its part of the
--- a/crates/hibiscus-traffic/src/budgets.rs
+++ b/crates/hibiscus-traffic/src/budgets.rs
@@ -101,9 +101,9 @@
     tokens: TokenCount,
     /// Version of the configuration that set it.
     version: u64,
-    /// When this instance first could have written the total, and last wrote
-    /// it.
+    /// When this instance could first have written the total.
     seen: Option<Duration>,
+    /// When this instance last wrote the total.
     written: Option<Duration>,
 }
 
@@ -162,8 +162,9 @@
     pub holders: u32,
     /// When this instance draws tokens of the budget.
     pub mode: DrawMode,
-    /// Whether this instance writes the budget's snapshots.
-    pub writes_snapshots: bool,
+    /// Whether this instance is the first holder, which writes the budget's
+    /// snapshots.
+    pub is_first_holder: bool,
 }
 
 /// Progress in closing the accounts of this machine's earlier processes.
@@ -193,7 +194,8 @@
     snapshots: BTreeMap<BudgetName, (Duration, u64)>,
     /// Number of the next batch.
     batch: u64,
-    /// Since when the oldest unacknowledged batch has been waiting.
+    /// Since when the oldest unacknowledged batch has been pending. Restarts at
+    /// each acknowledgement.
     unacknowledged_since: Option<Duration>,
     acknowledged: u64,
     /// Offset after the last record that the store has from this holder.
--- a/crates/hibiscus-traffic/src/budgets/handle.rs
+++ b/crates/hibiscus-traffic/src/budgets/handle.rs
@@ -84,26 +84,26 @@
         self.manager.borrow().machines_with_ended_processes(present)
     }
 
-    /// See [`BudgetManager::close_machine`].
-    pub fn close_machine(
+    /// See [`BudgetManager::close_machine_accounts`].
+    pub fn close_machine_accounts(
         &self,
         machine: &InstanceName,
         present: IncarnationId,
         began: MachineTime,
     ) -> usize {
         let mut manager = self.manager.borrow_mut();
-        manager.close_machine(machine, present, began)
+        manager.close_machine_accounts(machine, present, began)
     }
 
-    /// See [`BudgetManager::close_machine_by_agreement`].
-    pub fn close_machine_by_agreement(
+    /// See [`BudgetManager::close_machine_accounts_by_agreement`].
+    pub fn close_machine_accounts_by_agreement(
         &self,
         machine: &InstanceName,
         present: IncarnationId,
         ended: Option<u64>,
     ) {
         let mut manager = self.manager.borrow_mut();
-        manager.close_machine_by_agreement(machine, present, ended);
+        manager.close_machine_accounts_by_agreement(machine, present, ended);
     }
 
     /// See [`BudgetManager::group_samples`].
@@ -276,8 +276,8 @@
     }
 
     /// See [`BudgetManager::log_budgets`].
-    pub fn log_budgets(&self, keeps: impl Fn(&BudgetName) -> bool) {
-        self.manager.borrow().log_budgets(keeps);
+    pub fn log_budgets(&self, selects: impl Fn(&BudgetName) -> bool) {
+        self.manager.borrow().log_budgets(selects);
     }
 
     /// Registers a request that waits for `tokens`, until the returned value is
--- a/crates/hibiscus-traffic/src/budgets/recovery.rs
+++ b/crates/hibiscus-traffic/src/budgets/recovery.rs
@@ -89,7 +89,7 @@
     /// Closes the accounts of the processes of `machine` that ended before
     /// `present` began, as far as the machine's clock at that time (`began`)
     /// proves what they spent. Returns the number of accounts that stay open.
-    pub fn close_machine(
+    pub fn close_machine_accounts(
         &mut self,
         machine: &InstanceName,
         present: IncarnationId,
@@ -98,10 +98,10 @@
         self.close_accounts("clock", machine, present, |held| held.spent_by_clock(began))
     }
 
-    /// Closes the accounts that [`Self::close_machine`] left open. `ended` is a
+    /// Closes the accounts that [`Self::close_machine_accounts`] left open. `ended` is a
     /// time of day by which the processes had ended, in milliseconds since the
     /// Unix epoch, if several machines agree on one.
-    pub fn close_machine_by_agreement(
+    pub fn close_machine_accounts_by_agreement(
         &mut self,
         machine: &InstanceName,
         present: IncarnationId,
--- a/crates/hibiscus-traffic/src/budgets/review.rs
+++ b/crates/hibiscus-traffic/src/budgets/review.rs
@@ -38,7 +38,7 @@
                 continue;
             }
             self.review_one(&budget, role, now);
-            if role.writes_snapshots && self.is_snapshot_due(&budget, now) {
+            if role.is_first_holder && self.is_snapshot_due(&budget, now) {
                 self.write_snapshot(&budget, now);
             }
         }
@@ -115,8 +115,8 @@
     /// Queues the total from the configuration if the stream has another one.
     /// The first holder writes it at once, the others only if it is still
     /// missing later.
-    fn write_total(&mut self, budget: &BudgetName, writes_snapshots: bool, now: Duration) {
-        let waits = self.waiting.contains(budget);
+    fn write_total(&mut self, budget: &BudgetName, is_first_holder: bool, now: Duration) {
+        let is_waited_for = self.waiting.contains(budget);
         let Some(total) = self.totals.get_mut(budget) else {
             return;
         };
@@ -124,7 +124,8 @@
         let is_new = known
             .is_none_or(|known| known.version < total.version && known.prepaid != total.tokens);
         let seen = *total.seen.get_or_insert(now);
-        let is_due = writes_snapshots || waits || now.saturating_sub(seen) >= TOTAL_WRITE_DELAY;
+        let is_due =
+            is_first_holder || is_waited_for || now.saturating_sub(seen) >= TOTAL_WRITE_DELAY;
         let written = total.written.map(|at| now.saturating_sub(at));
         if !is_new || !is_due || written.is_some_and(|written| written < TOTAL_REWRITE_INTERVAL) {
             return;
@@ -143,13 +144,13 @@
         }
         self.tally.reviews.add();
         if role.mode != DrawMode::Release {
-            self.write_total(budget, role.writes_snapshots, now);
+            self.write_total(budget, role.is_first_holder, now);
         }
         let held = self.held.entry(budget.clone()).or_default();
         let account = self.fold.budget(budget);
         let total = self.totals.get(budget).map(|total| total.tokens);
         let prepaid = account.map(|account| account.prepaid).or(total);
-        let view = DrawInputs {
+        let inputs = DrawInputs {
             demand_per_second: held.demand.rate(now),
             wanted: held.wanted,
             available: held.quota.available(),
@@ -166,7 +167,7 @@
             shutting_down: self.shutting_down,
             mode: role.mode,
         };
-        let decision = policy::decide(&view);
+        let decision = policy::decide(&inputs);
         if !held.pending && !decision.draw.is_zero() {
             held.draw_serial += 1;
             held.pending = true;
--- a/crates/hibiscus-traffic/src/budgets/tokens.rs
+++ b/crates/hibiscus-traffic/src/budgets/tokens.rs
@@ -35,10 +35,10 @@
 impl HeldBudget {
     /// Transferred tokens that may still come back in part.
     pub(super) fn transferred(&self, now: Duration) -> TokenCount {
-        let passed = self.transferred.iter();
+        let transfers = self.transferred.iter();
         let recent =
-            passed.filter(|(passed, _tokens)| now.saturating_sub(*passed) <= TRANSFER_RETURN_TIME);
-        recent.map(|(_passed, tokens)| *tokens).sum()
+            transfers.filter(|(at, _tokens)| now.saturating_sub(*at) <= TRANSFER_RETURN_TIME);
+        recent.map(|(_at, tokens)| *tokens).sum()
     }
 }
 
@@ -110,12 +110,12 @@
             return None;
         }
         let account = self.fold.budget(budget)?;
-        let here = held.map_or(TokenCount::ZERO, |held| {
+        let available_here = held.map_or(TokenCount::ZERO, |held| {
             held.quota.available() + held.quota.received()
         });
         let unread_returns =
             held.map_or(TokenCount::ZERO, |held| self.unread_returns(account, held));
-        let reachable = here + account.free() + unread_returns;
+        let reachable = available_here + account.free() + unread_returns;
         if tokens <= reachable {
             return None;
         }
@@ -160,8 +160,8 @@
         self.settle(budget, reservation, reservation.tokens, now);
         let held = self.held.entry(budget.clone()).or_default();
         held.transferred.push_back((now, reservation.tokens));
-        while let Some((passed, _tokens)) = held.transferred.front() {
-            if now.saturating_sub(*passed) <= TRANSFER_RETURN_TIME {
+        while let Some((at, _tokens)) = held.transferred.front() {
+            if now.saturating_sub(*at) <= TRANSFER_RETURN_TIME {
                 break;
             }
             held.transferred.pop_front();
@@ -182,8 +182,8 @@
     ) -> Vec<(BudgetName, TokenCount)> {
         let mut idle = Vec::new();
         for (budget, held) in &mut self.held {
-            let rested = now.saturating_sub(held.received_used_at) >= idle_time;
-            if !rested || held.quota.received().is_zero() || !held.wanted.is_zero() {
+            let is_idle = now.saturating_sub(held.received_used_at) >= idle_time;
+            if !is_idle || held.quota.received().is_zero() || !held.wanted.is_zero() {
                 continue;
             }
             idle.push((budget.clone(), held.quota.take_received()));
@@ -214,12 +214,12 @@
         );
     }
 
-    /// Logs the levels of the budgets that `keeps` selects, as of the last
+    /// Logs the levels of the budgets that `selects` selects, as of the last
     /// record read.
-    pub fn log_budgets(&self, keeps: impl Fn(&BudgetName) -> bool) {
+    pub fn log_budgets(&self, selects: impl Fn(&BudgetName) -> bool) {
         let budgets = self.fold.budgets().iter();
         for (budget, account) in budgets
-            .filter(|(budget, _account)| keeps(budget))
+            .filter(|(budget, _account)| selects(budget))
             .take(LOGGED_BUDGETS_LIMIT)
         {
             let reported: TokenCount = account.holders.values().map(|held| held.spent).sum();
--- a/crates/hibiscus-traffic/src/holders.rs
+++ b/crates/hibiscus-traffic/src/holders.rs
@@ -66,10 +66,10 @@
     ranked.sort_by_cached_key(|entry| {
         Reverse(stable_hash(&[&subject, entry.name.as_str().as_bytes()]))
     });
-    let mut seen: BTreeMap<&DataCentre, usize> = BTreeMap::new();
+    let mut per_data_centre: BTreeMap<&DataCentre, usize> = BTreeMap::new();
     let mut rounds = Vec::with_capacity(ranked.len());
     for (place, entry) in ranked.into_iter().enumerate() {
-        let before = seen.entry(&entry.data_centre).or_default();
+        let before = per_data_centre.entry(&entry.data_centre).or_default();
         rounds.push((*before, place, entry));
         *before += 1;
     }
--- a/crates/hibiscus-traffic/src/memory_pressure.rs
+++ b/crates/hibiscus-traffic/src/memory_pressure.rs
@@ -62,13 +62,13 @@
     /// Records that `used` bytes are in use. Returns whether the level changed.
     pub fn observe(&mut self, used: usize) -> bool {
         let used = used as f64 / self.memory.max(1) as f64;
-        let reached = |part: f64, level: MemoryPressure| {
+        let reached = |ratio: f64, level: MemoryPressure| {
             let hysteresis = if self.level >= level {
                 HYSTERESIS_RATIO
             } else {
                 0.0
             };
-            used >= part - hysteresis
+            used >= ratio - hysteresis
         };
         let level = if reached(FULL_RATIO, MemoryPressure::Full) {
             MemoryPressure::Full
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -82,7 +82,7 @@
             }
             let (state, running) = (Rc::clone(&state), Rc::clone(&running));
             tokio::task::spawn_local(async move {
-                close_machine(&state, &machine).await;
+                close_machine_accounts(&state, &machine).await;
                 running.borrow_mut().remove(&machine);
             });
         }
@@ -90,7 +90,10 @@
 }
 
 /// Closes the accounts of ended processes on `machine`.
-async fn close_machine<D: RequestDialect>(state: &TrafficState<D>, machine: &InstanceName) {
+async fn close_machine_accounts<D: RequestDialect>(
+    state: &TrafficState<D>,
+    machine: &InstanceName,
+) {
     let link = state.link.borrow().clone();
     let peer = state
         .directory
@@ -107,9 +110,11 @@
     let began = state
         .now()
         .saturating_sub(Duration::from_millis(process.age));
-    let left = state.budgets.close_machine(machine, present, process.began);
+    let open_accounts = state
+        .budgets
+        .close_machine_accounts(machine, present, process.began);
     state.review_budgets();
-    if left == 0 {
+    if open_accounts == 0 {
         return;
     }
     let readings = gather_readings(state, began).await;
@@ -120,7 +125,7 @@
     );
     state
         .budgets
-        .close_machine_by_agreement(machine, present, ended);
+        .close_machine_accounts_by_agreement(machine, present, ended);
     state.review_budgets();
 }
 
@@ -167,9 +172,9 @@
     holders.retain(|other| !responses.contains_key(other));
     holders.truncate(PEER_LIMIT.saturating_sub(responses.len()));
     for other in holders {
-        let asked = state.now().saturating_sub(began);
+        let since = state.now().saturating_sub(began);
         if let Some(reading) = peers::ask_time(&link, other).await {
-            responses.insert(other, at_start(reading, asked));
+            responses.insert(other, at_start(reading, since));
         }
     }
 }
--- a/crates/hibiscus-traffic/src/shares.rs
+++ b/crates/hibiscus-traffic/src/shares.rs
@@ -52,9 +52,9 @@
     /// `descriptors` file descriptors.
     pub fn of_machine(memory: usize, descriptors: usize) -> Self {
         let left = memory - program_bytes(memory);
-        let bounded = |part: f64, each: usize, descriptors_part: f64| {
-            let by_memory = left as f64 * part / each as f64;
-            let by_descriptors = descriptors as f64 * descriptors_part;
+        let bounded = |ratio: f64, each: usize, descriptor_ratio: f64| {
+            let by_memory = left as f64 * ratio / each as f64;
+            let by_descriptors = descriptors as f64 * descriptor_ratio;
             (by_memory.min(by_descriptors) as usize).max(1)
         };
         Self {
--- a/crates/hibiscus-traffic/src/state/holding.rs
+++ b/crates/hibiscus-traffic/src/state/holding.rs
@@ -49,7 +49,7 @@
         BudgetRole {
             holders: holders.count,
             mode,
-            writes_snapshots: holders.own_rank == Some(0),
+            is_first_holder: holders.own_rank == Some(0),
         }
     }
 
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -116,7 +116,7 @@
         .take_idle_received(RECEIVED_TOKENS_RETURN_DELAY)
     {
         if state.asks_for(&budget) {
-            tokio::task::spawn_local(return_tokens(Rc::clone(state), budget, tokens));
+            tokio::task::spawn_local(send_back(Rc::clone(state), budget, tokens));
         } else {
             state.budgets.refund(&budget, tokens);
         }
@@ -128,7 +128,7 @@
 pub async fn return_all<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
     let mut returns = JoinSet::new();
     for (budget, tokens) in state.budgets.take_idle_received(Duration::ZERO) {
-        returns.spawn_local(return_tokens(Rc::clone(state), budget, tokens));
+        returns.spawn_local(send_back(Rc::clone(state), budget, tokens));
     }
     // Tokens may still arrive at a holder whose response is late.
     let _late = tokio::time::timeout(SHUTDOWN_RETURN_TIMEOUT, returns.join_all()).await;
@@ -137,7 +137,7 @@
 /// Sends `tokens` back to a single holder and does not retry: if only the
 /// response was lost, a retry would count the tokens twice. A holder that
 /// refuses has not taken them.
-async fn return_tokens<D: RequestDialect>(
+async fn send_back<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     budget: BudgetName,
     tokens: TokenCount,
@@ -178,13 +178,13 @@
     let waiter = state.budgets.wait_for(budget, tokens);
     state.review_waiting();
     loop {
-        let left = deadline.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         let refusal = state.budgets.refusal(budget, tokens);
         let retry_after = refusal.and_then(TokenRefusal::retry_after);
         let wait = match (refusal, retry_after) {
-            (None, _) => left,
+            (None, _) => remaining,
             // The limit of a holder without the store allows the tokens soon.
-            (Some(_later), Some(retry_after)) if retry_after < left => retry_after,
+            (Some(_later), Some(retry_after)) if retry_after < remaining => retry_after,
             (Some(refusal), _) => return Err(refusal),
         };
         let changed = tokio::time::timeout(wait, waiter.changed()).await;
@@ -215,23 +215,23 @@
         .borrow_mut()
         .choose(budget, &mut holders, state.now());
     holders.truncate(HOLDER_REQUEST_LIMIT);
-    let (responses, mut responded) = mpsc::unbounded_channel();
+    let (response_sender, mut response_receiver) = mpsc::unbounded_channel();
     let mut requested = 0;
-    let mut open = 0;
+    let mut pending = 0;
     let mut refusal = TokenRefusal::Unconfirmed;
     loop {
         if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
             return Ok(reservation);
         }
-        if open == 0 || Instant::now() < deadline {
+        if pending == 0 || Instant::now() < deadline {
             let missing = tokens.saturating_sub(state.budgets.received(budget));
             if let Some(holder) = holders.get(requested) {
-                request_tokens(state, *holder, budget, missing, responses.clone());
+                request_tokens(state, *holder, budget, missing, response_sender.clone());
                 requested += 1;
-                open += 1;
+                pending += 1;
             }
         }
-        if open == 0 {
+        if pending == 0 {
             return Err(refusal);
         }
         let next = if requested < holders.len() {
@@ -239,13 +239,13 @@
         } else {
             deadline
         };
-        match tokio::time::timeout_at(next.into(), responded.recv()).await {
+        match tokio::time::timeout_at(next.into(), response_receiver.recv()).await {
             Ok(Some(Err(TokenRefusal::Spent))) => return Err(TokenRefusal::Spent),
             Ok(Some(response)) => {
                 refusal = response
                     .err()
                     .map_or(refusal, |other| refusal.or_sooner(other));
-                open -= 1;
+                pending -= 1;
             }
             Ok(None) => return Err(refusal),
             Err(_late) if Instant::now() >= deadline => return Err(refusal),
@@ -261,7 +261,7 @@
     }
 }
 
-/// Requests tokens from one holder and sends the outcome to `responses`; the
+/// Requests tokens from one holder and sends the outcome to `response_sender`; the
 /// tokens can be reserved by then. The call continues if the request ends, so
 /// that its tokens are not lost.
 fn request_tokens<D: RequestDialect>(
@@ -269,7 +269,7 @@
     holder: SocketAddr,
     budget: &BudgetName,
     tokens: TokenCount,
-    responses: mpsc::UnboundedSender<Result<()>>,
+    response_sender: mpsc::UnboundedSender<Result<()>>,
 ) {
     let link = state.link.borrow().clone();
     let state = Rc::clone(state);
@@ -319,6 +319,6 @@
             .tally
             .count_peer_request(PeerRequestKind::Link, outcome);
         // The request may have ended already.
-        let _ended = responses.send(response);
+        let _ended = response_sender.send(response);
     });
 }
--- a/crates/hibiscus-traffic/src/tally.rs
+++ b/crates/hibiscus-traffic/src/tally.rs
@@ -41,11 +41,11 @@
 }
 
 impl DrawOutcome {
-    /// The outcome of a draw of `asked` tokens that was granted `granted`.
-    pub fn of(asked: TokenCount, granted: TokenCount) -> Self {
+    /// The outcome of a draw of `requested` tokens that was granted `granted`.
+    pub fn of(requested: TokenCount, granted: TokenCount) -> Self {
         if granted.is_zero() {
             Self::Nothing
-        } else if granted < asked {
+        } else if granted < requested {
             Self::Part
         } else {
             Self::Whole
--- a/crates/hibiscus-traffic/src/usage_log.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -65,8 +65,8 @@
     /// Records the present levels. Returns whether they were logged.
     pub fn note_levels(&self, levels: &TrafficLevels, tally: &WorkTally) -> bool {
         let memory = self.limits.memory_bytes.max(1) as f64;
-        let part = levels.used.resident_bytes as f64 / memory;
-        if self.memory.borrow_mut().rises(part) {
+        let ratio = levels.used.resident_bytes as f64 / memory;
+        if self.memory.borrow_mut().rises(ratio) {
             event!(
                 EventCode::MemoryNearLimit,
                 "resident_bytes={} limit_bytes={} caller_connections={} requests={} body_bytes={} idle_links={} accounts={} account_lag={}",
--- a/crates/hibiscus-traffic/tests/budgets.rs
+++ b/crates/hibiscus-traffic/tests/budgets.rs
@@ -28,11 +28,11 @@
 const PREPAID: u64 = 700_000;
 
 /// The role of one of seven holders.
-fn role(writes_snapshots: bool) -> BudgetRole {
+fn role(is_first_holder: bool) -> BudgetRole {
     BudgetRole {
         holders: 7,
         mode: DrawMode::Prefetch,
-        writes_snapshots,
+        is_first_holder,
     }
 }
 
--- a/crates/hibiscus-traffic/tests/holders.rs
+++ b/crates/hibiscus-traffic/tests/holders.rs
@@ -231,7 +231,7 @@
                     } else {
                         DrawMode::Release
                     },
-                    writes_snapshots: holders[0].name == entry.name,
+                    is_first_holder: holders[0].name == entry.name,
                 }
             };
             manager.review(role_of, now);
--- a/crates/hibiscus-traffic/tests/power_cut.rs
+++ b/crates/hibiscus-traffic/tests/power_cut.rs
@@ -385,7 +385,7 @@
             let role = |_budget: &BudgetName| BudgetRole {
                 holders: count,
                 mode: DrawMode::Prefetch,
-                writes_snapshots: number == 0,
+                is_first_holder: number == 0,
             };
             while holder
                 .reading
