--- a/crates/hibiscus-ledger/tests/account.rs
+++ b/crates/hibiscus-ledger/tests/account.rs
@@ -1,4 +1,4 @@
-//! The account fold, purse, lines and policy.
+//! The account fold, local quota, spending limits and draw policy.
 
 use std::time::Duration;
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_draw_gets_what_is_free_and_a_copy_gets_nothing() {
+fn a_draw_gets_what_is_free_and_a_repeated_draw_gets_nothing() {
     let mut fold = AccountFold::default();
     fold.apply(0, &[prepaid(1, TOKENS)]);
     let results = fold.apply(1, &[draw(1, 1, 700)]);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_closed_account_frees_its_rest_and_takes_no_late_record() {
+fn a_closed_account_frees_unspent_tokens_and_ignores_late_records() {
     let mut fold = AccountFold::default();
     fold.apply(
         0,
@@ -139,13 +139,13 @@
 }
 
 #[test]
-fn a_machine_that_was_booted_anew_proves_nothing() {
+fn the_clock_of_a_rebooted_machine_proves_nothing() {
     let mut fold = AccountFold::default();
     fold.apply(
         0,
         &[prepaid(1, TOKENS), draw(1, 1, 800), report(1, 1, 200, 0)],
     );
-    let account = fold.budget(&budget()).expect("the budget is known");
+    let account = fold.budget(&budget()).expect("the budget exists");
     let held = &account.holders[&holder(1)];
     assert_eq!(held.spent_by_clock(at(1_000)), Some(tokens(310)));
     let elsewhere = [
@@ -153,7 +153,8 @@
             boot: 8,
             ..at(1_000)
         },
-        // The steady clock began anew, and by chance not far from before.
+        // The monotonic clock restarted and by chance is close to its old
+        // reading.
         MachineTime {
             millis: 2_000,
             ..at(1_000)
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_holder_spends_nothing_before_its_first_line_is_acknowledged() {
+fn a_holder_spends_nothing_before_its_first_limit_is_acknowledged() {
     let mut quota = LocalQuota::default();
     quota.add_drawn(tokens(500));
     assert_eq!(
@@ -206,36 +207,36 @@
     );
 }
 
-/// Guards against a power cut of all machines that takes along what lines came
-/// to allow since the last report (issue 28).
+/// Guards against a power cut of all machines that loses what the limits allow
+/// since the last report (issue 28).
 #[test]
-fn a_line_that_was_renewed_lately_allows_no_more_than_its_burst() {
-    let line = SpendingLimit {
+fn a_recent_limit_allows_no_more_than_its_burst() {
+    let limit = SpendingLimit {
         base: tokens(1_000),
         burst: tokens(100),
         per_second: 500,
         created_at: at(0),
         grows_after: 1_500,
     };
-    assert_eq!(line.allowed_at(at(1_500)), tokens(1_100));
-    assert_eq!(line.max_spent_at(at(1_500)), Some(tokens(1_100)));
-    assert_eq!(line.allowed_at(at(3_500)), tokens(2_100));
-    assert_eq!(line.max_spent_at(at(3_500)), Some(tokens(2_100)));
-    assert_eq!(line.millis_until_allowed(tokens(1_100)), Some(0));
-    assert_eq!(line.millis_until_allowed(tokens(1_101)), Some(1_502));
-    assert_eq!(line.allowed_after(1_502), tokens(1_101));
+    assert_eq!(limit.allowed_at(at(1_500)), tokens(1_100));
+    assert_eq!(limit.max_spent_at(at(1_500)), Some(tokens(1_100)));
+    assert_eq!(limit.allowed_at(at(3_500)), tokens(2_100));
+    assert_eq!(limit.max_spent_at(at(3_500)), Some(tokens(2_100)));
+    assert_eq!(limit.millis_until_allowed(tokens(1_100)), Some(0));
+    assert_eq!(limit.millis_until_allowed(tokens(1_101)), Some(1_502));
+    assert_eq!(limit.allowed_after(1_502), tokens(1_101));
     let quiet = SpendingLimit {
         per_second: 0,
-        ..line
+        ..limit
     };
     assert_eq!(quiet.millis_until_allowed(tokens(1_101)), None);
 }
 
-/// What a holder may spend without a word to the store while the store answers
-/// is what a power cut of all takes along (issue 28).
+/// What a holder may spend without a report is lost in a power cut of all
+/// machines, so it must be small while the store is reachable (issue 28).
 #[test]
-fn a_holder_that_reaches_the_store_has_a_fraction_of_a_second_of_its_demand_in_hand() {
-    let view = DrawInputs {
+fn a_limit_covers_a_fraction_of_a_second_of_demand_while_the_store_is_reachable() {
+    let inputs = DrawInputs {
         demand_per_second: 10_000.0,
         others_per_second: 70_000.0,
         available: tokens(150_000),
@@ -245,7 +246,7 @@
         holders: 8,
         ..DrawInputs::default()
     };
-    let decision = policy::decide(&view);
+    let decision = policy::decide(&inputs);
     assert!(decision.burst <= tokens(2_500), "{decision:?}");
     assert!(
         decision.grows_after >= Duration::from_secs(2),
@@ -253,14 +254,14 @@
     );
     let slow = DrawInputs {
         store_delay: Duration::from_millis(300),
-        ..view
+        ..inputs
     };
     let slow = policy::decide(&slow);
     assert!(slow.burst >= tokens(6_000), "{slow:?}");
     assert!(slow.burst <= tokens(20_000), "{slow:?}");
     let quiet = DrawInputs {
         demand_per_second: 0.0,
-        ..view
+        ..inputs
     };
     let quiet = policy::decide(&quiet);
     let all = quiet.burst.get() * 8;
@@ -268,10 +269,10 @@
 }
 
 #[test]
-fn given_tokens_count_for_the_giver_and_not_for_the_taker() {
-    let mut giver = LocalQuota::default();
-    giver.add_drawn(tokens(500));
-    giver.record_sent_limit(
+fn transferred_tokens_count_for_the_sender_and_not_for_the_receiver() {
+    let mut sender = LocalQuota::default();
+    sender.add_drawn(tokens(500));
+    sender.record_sent_limit(
         1,
         SpendingLimit {
             burst: tokens(300),
@@ -279,42 +280,44 @@
             ..SpendingLimit::default()
         },
     );
-    giver.acknowledge(1);
+    sender.acknowledge(1);
     assert_eq!(
-        giver.reserve(tokens(400), at(0)),
+        sender.reserve(tokens(400), at(0)),
         Err(ReservationError::OverLimit)
     );
-    let given = tokens(300);
-    let reservation = giver.reserve(given, at(0)).expect("the line allows it");
-    giver.settle(reservation, given);
-    assert_eq!(giver.spent(), tokens(300));
-    let mut taker = LocalQuota::default();
-    taker.add_received(given);
-    let reservation = taker
+    let transferred_tokens = tokens(300);
+    let reservation = sender
+        .reserve(transferred_tokens, at(0))
+        .expect("the limit allows it");
+    sender.settle(reservation, transferred_tokens);
+    assert_eq!(sender.spent(), tokens(300));
+    let mut receiver = LocalQuota::default();
+    receiver.add_received(transferred_tokens);
+    let reservation = receiver
         .reserve(tokens(200), at(0))
-        .expect("the tokens were given");
+        .expect("the tokens were received");
     assert_eq!(reservation.source, TokenSource::Received);
-    taker.settle(reservation, tokens(50));
-    assert_eq!(taker.spent(), TokenCount::ZERO);
-    assert!(taker.reserve(tokens(250), at(0)).is_ok());
+    receiver.settle(reservation, tokens(50));
+    assert_eq!(receiver.spent(), TokenCount::ZERO);
+    assert!(receiver.reserve(tokens(250), at(0)).is_ok());
 }
 
-/// Guards against tokens that askers bring back and that stay counted as spent:
-/// some 4 in 100 of a total (issue 28).
+/// Guards against tokens that requesters send back but that stay counted as
+/// spent: about 4 in 100 of a total (issue 28).
 #[test]
-fn tokens_that_come_back_are_there_for_the_store_and_the_next_request() {
+fn refunded_tokens_are_available_again() {
     let mut quota = LocalQuota::default();
     quota.add_drawn(tokens(500));
-    let line = SpendingLimit {
+    let limit = SpendingLimit {
         burst: tokens(300),
         created_at: at(0),
         ..SpendingLimit::default()
     };
-    quota.record_sent_limit(1, line);
+    quota.record_sent_limit(1, limit);
     quota.acknowledge(1);
     let reservation = quota
         .reserve(tokens(300), at(0))
-        .expect("the line allows it");
+        .expect("the limit allows it");
     quota.settle(reservation, tokens(300));
     assert_eq!(
         quota.reserve(tokens(1), at(0)),
@@ -328,7 +331,7 @@
         quota.reserve(tokens(1), at(0)),
         Err(ReservationError::OverLimit)
     );
-    // What another holder had passed on counts there.
+    // Tokens that another holder had transferred are counted by that holder.
     quota.refund(tokens(200));
     assert_eq!(quota.spent(), TokenCount::ZERO);
     assert_eq!(quota.received(), tokens(20));
@@ -351,19 +354,20 @@
     assert!(demand.rate(Duration::from_secs(23)) > 450.0);
 }
 
-/// One large request at the start must not draw for many like it.
+/// One large request at the start must not cause draws for many requests like
+/// it.
 #[test]
-fn the_first_large_request_is_not_taken_for_the_demand() {
+fn one_large_request_at_the_start_does_not_dominate_the_demand() {
     let mut demand = DemandCounter::default();
     demand.reserve(tokens(32_000), Duration::from_secs(1));
     assert!(demand.rate(Duration::from_secs(1)) < 6_000.0);
 }
 
-/// One holder has all of a team's requests: it must last through a cut of
-/// 10 s, as long as that leaves something free.
+/// One holder has all requests of a team: it must last through an outage of the
+/// store of 10 s, while leaving some tokens free.
 #[test]
-fn a_holder_with_all_the_demand_outlasts_a_cut() {
-    let view = DrawInputs {
+fn a_holder_with_all_the_demand_outlasts_a_store_outage() {
+    let inputs = DrawInputs {
         demand_per_second: 25_000.0,
         available: tokens(60_000),
         free: tokens(420_000),
@@ -372,16 +376,16 @@
         holders: 7,
         ..DrawInputs::default()
     };
-    let decision = policy::decide(&view);
-    let held = view.available + decision.draw;
+    let decision = policy::decide(&inputs);
+    let held = inputs.available + decision.draw;
     assert!(held >= tokens(250_000), "{decision:?}");
     assert!(decision.draw < tokens(420_000), "{decision:?}");
 }
 
-/// Two holders ask for all at once: the second one's part is kept.
+/// The first holder to draw must leave the part of the second one.
 #[test]
-fn holders_share_what_is_left_by_their_demand() {
-    let view = DrawInputs {
+fn holders_share_the_remaining_tokens_by_demand() {
+    let inputs = DrawInputs {
         demand_per_second: 10_000.0,
         others_per_second: 30_000.0,
         free: tokens(100_000),
@@ -389,14 +393,14 @@
         holders: 2,
         ..DrawInputs::default()
     };
-    let decision = policy::decide(&view);
+    let decision = policy::decide(&inputs);
     assert!(decision.draw <= tokens(20_000), "{decision:?}");
 }
 
-/// The last tokens of a budget: idle ones go back, lines close.
+/// At the end of a budget, idle tokens are returned and limits do not grow.
 #[test]
-fn a_drained_budget_gets_idle_tokens_back_and_allows_no_burst() {
-    let view = DrawInputs {
+fn an_exhausted_budget_gets_idle_tokens_back_and_allows_no_burst() {
+    let inputs = DrawInputs {
         available: tokens(5_000),
         demand_per_second: 1.0,
         free: TokenCount::ZERO,
@@ -404,30 +408,30 @@
         holders: 7,
         ..DrawInputs::default()
     };
-    let decision = policy::decide(&view);
+    let decision = policy::decide(&inputs);
     assert!(decision.tokens_to_return >= tokens(4_000), "{decision:?}");
     assert!(decision.burst.is_zero(), "{decision:?}");
     assert_eq!(decision.per_second, 0);
 }
 
 #[test]
-fn a_waiting_request_is_drawn_for_even_near_the_limit() {
-    let view = DrawInputs {
+fn a_holder_draws_for_a_waiting_request_even_near_the_end_of_a_budget() {
+    let inputs = DrawInputs {
         wanted: tokens(3_000),
         free: tokens(3_500),
         prepaid: tokens(100_000),
         holders: 7,
         ..DrawInputs::default()
     };
-    assert_eq!(policy::decide(&view).draw, tokens(3_000));
+    assert_eq!(policy::decide(&inputs).draw, tokens(3_000));
 }
 
-/// All machines lose power near the end of a day: what is kept is lost, so
-/// most of a low budget stays free, also before any demand is known.
+/// If all machines lose power near the end of a day, the held tokens are lost.
+/// Most of a low budget therefore stays free, even before any demand is known.
 #[test]
 fn holders_leave_most_of_a_low_budget_free() {
     for demand_per_second in [0.0, 5_000.0] {
-        let view = DrawInputs {
+        let inputs = DrawInputs {
             demand_per_second,
             others_per_second: demand_per_second * 6.0,
             free: tokens(200_000),
@@ -435,17 +439,17 @@
             holders: 7,
             ..DrawInputs::default()
         };
-        let decision = policy::decide(&view);
+        let decision = policy::decide(&inputs);
         let all = decision.draw.get() * 7;
         assert!(all < 100_000, "{decision:?}");
     }
 }
 
-/// A cut from the store begins in the middle of a planned stop: what the
-/// holder does not need must have gone back before.
+/// The store may become unreachable during a graceful shutdown: the holder must
+/// have returned the tokens that it does not need before that.
 #[test]
-fn a_holder_that_stops_gives_back_what_its_last_requests_do_not_need() {
-    let view = DrawInputs {
+fn a_shutdown_returns_tokens_that_the_last_requests_do_not_need() {
+    let inputs = DrawInputs {
         demand_per_second: 10_000.0,
         available: tokens(150_000),
         free: tokens(900_000),
@@ -454,7 +458,7 @@
         shutting_down: true,
         ..DrawInputs::default()
     };
-    let decision = policy::decide(&view);
+    let decision = policy::decide(&inputs);
     assert!(decision.draw.is_zero(), "{decision:?}");
     assert!(decision.tokens_to_return >= tokens(120_000), "{decision:?}");
 }
@@ -464,7 +468,7 @@
 }
 
 #[test]
-fn a_snapshot_and_the_records_after_it_say_what_all_records_say() {
+fn a_snapshot_and_later_records_give_the_same_state_as_all_records() {
     let records = [
         vec![prepaid(1, TOKENS), draw(1, 1, 300), report(1, 1, 20, 0)],
         vec![draw(2, 1, 200), report(1, 2, 100, 50)],
@@ -493,7 +497,7 @@
         }
         resumed.apply(4, std::slice::from_ref(&close));
         assert_eq!(free(&resumed), free(&whole), "{taken} {first}");
-        // The closed holder is remembered too.
+        // The closed holder is remembered as well.
         assert!(resumed.apply(5, &[draw(1, 9, 1)]).is_empty());
     }
 }
@@ -506,7 +510,7 @@
     assert_eq!(stale, [budget()]);
     assert_eq!(free(&resumed), 0);
     assert!(resumed.apply(7, &[draw(2, 1, 10)])[0].granted.is_zero());
-    // The line of the first holder may not be its last one.
+    // The known limit of the first holder may not be its last one.
     let close = AccountRecord::Close {
         budget: budget(),
         holder: holder(1),
@@ -548,11 +552,11 @@
     assert_eq!(free(&resumed), 700);
 }
 
-/// Guards against tokens that lie where no request needs them, while others
-/// are refused (issue 17).
+/// Guards against tokens held where no request needs them while other instances
+/// refuse requests (issue 17).
 #[test]
-fn a_relieved_holder_draws_for_waiting_requests_only_and_gives_the_rest_back() {
-    let view = DrawInputs {
+fn a_former_holder_draws_only_for_waiting_requests_and_returns_the_rest() {
+    let inputs = DrawInputs {
         available: tokens(50_000),
         free: tokens(500_000),
         prepaid: tokens(1_000_000),
@@ -560,19 +564,19 @@
         mode: DrawMode::Release,
         ..DrawInputs::default()
     };
-    let decision = policy::decide(&view);
+    let decision = policy::decide(&inputs);
     assert!(decision.draw.is_zero(), "{decision:?}");
-    assert_eq!(decision.tokens_to_return, view.available);
+    assert_eq!(decision.tokens_to_return, inputs.available);
     let wanted = tokens(60_000);
-    let decision = policy::decide(&DrawInputs { wanted, ..view });
+    let decision = policy::decide(&DrawInputs { wanted, ..inputs });
     assert_eq!(decision.draw, tokens(10_000));
     assert!(decision.tokens_to_return.is_zero(), "{decision:?}");
 }
 
-/// A holder that is cut off must outlast the cut with what it has.
+/// A holder that is cut off must last through the outage with its tokens.
 #[test]
-fn a_holder_that_does_not_reach_the_others_keeps_what_it_has_and_draws_no_more() {
-    let view = DrawInputs {
+fn an_isolated_holder_keeps_its_tokens_and_draws_only_for_waiting_requests() {
+    let inputs = DrawInputs {
         available: tokens(50_000),
         free: tokens(500_000),
         prepaid: tokens(1_000_000),
@@ -580,18 +584,18 @@
         mode: DrawMode::OnDemand,
         ..DrawInputs::default()
     };
-    let decision = policy::decide(&view);
+    let decision = policy::decide(&inputs);
     assert!(decision.draw.is_zero(), "{decision:?}");
     assert!(decision.tokens_to_return.is_zero(), "{decision:?}");
     let wanted = tokens(60_000);
-    let decision = policy::decide(&DrawInputs { wanted, ..view });
+    let decision = policy::decide(&DrawInputs { wanted, ..inputs });
     assert_eq!(decision.draw, tokens(10_000));
 }
 
-/// Guards against account records that gather while the store is away and
-/// become a record that it refuses for ever (issue 20).
+/// Guards against account records that accumulate while the store is away and
+/// form a record that the store rejects forever (issue 20).
 #[test]
-fn a_large_batch_of_account_records_is_split_and_folds_to_the_same() {
+fn a_large_batch_of_account_records_is_split_and_decodes_to_the_same_records() {
     const LIMIT: usize = 1_000;
     let mut records = Vec::new();
     for number in 0..200 {
--- a/crates/hibiscus-ledger/tests/account_exhaustive.rs
+++ b/crates/hibiscus-ledger/tests/account_exhaustive.rs
@@ -1,7 +1,7 @@
-//! Exhaustive search of a small deployment over the real account fold and
-//! purse: one machine whose process draws, reports and spends, is killed at
-//! any point and followed by another, while appends are lost, repeated and
-//! late, and a second machine spends at once whatever the fold calls free.
+//! Exhaustive search of a small deployment with the real account fold and local
+//! quota. The process of one machine draws, reports and spends; it is killed at
+//! any point and succeeded by another. Appends are lost, repeated and late. A
+//! second machine immediately spends all tokens that the fold counts as free.
 
 use std::collections::HashSet;
 use std::collections::VecDeque;
@@ -18,19 +18,20 @@
 use hibiscus_types::TokenCount;
 use hibiscus_types::codec;
 
-/// Tokens prepaid.
+/// Prepaid tokens.
 const PREPAID: u64 = 3;
-/// Seconds that pass at the most.
+/// Longest simulated time, in seconds.
 const TIME_LIMIT: u64 = 3;
-/// Milliseconds until a line grows: at once, and with the first second.
+/// Milliseconds until a limit grows: at once, and after the first second.
 const GROWS_AFTER: [u64; 2] = [0, 1_000];
-/// Reports that the holder makes at the most.
+/// Largest number of reports of the holder.
 const REPORT_LIMIT: u64 = 2;
-/// States after which a search is given up.
+/// Number of states at which a search fails.
 const STATE_LIMIT: usize = 400_000;
-/// Overspent states after which a search ends.
-const ENOUGH: usize = 10;
-/// The processes: the first holder, its successor, and the other machine's.
+/// Number of overspent states at which a search ends.
+const OVERSPENT_LIMIT: usize = 10;
+/// The processes: the first holder, its successor, and that of the other
+/// machine.
 const FIRST: u128 = 1;
 const SUCCESSOR: u128 = 2;
 const OTHER: u128 = 3;
@@ -38,42 +39,42 @@
 /// How the successor closes the account of the first holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseRule {
-    /// By the line over the machine's clock.
+    /// By the spending limit and the machine's clock.
     SpentAtMost,
-    /// By the sums of the last report alone.
+    /// By the sums of the last report only.
     LastReport,
 }
 
-/// Which lines the holder keeps to.
+/// Which limits the holder respects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LimitRule {
-    /// The acknowledged one and all sent since, as the purse does.
+    /// The acknowledged limit and all limits sent since, like [`LocalQuota`].
     AllSent,
-    /// The newest one, as soon as it is sent.
+    /// Only the newest limit, as soon as it is sent.
     NewestSent,
 }
 
-/// The whole deployment.
+/// State of the deployment.
 #[derive(Clone, Debug)]
 struct SearchState {
-    /// Milliseconds until a line grows.
+    /// Milliseconds until a limit grows.
     grows_after: u64,
     fold: AccountFold,
     offset: u64,
     millis: u64,
     quota: LocalQuota,
-    /// Number of the first holder's last report.
+    /// Serial number of the first holder's last report.
     reports: u64,
     drew: bool,
-    /// The batch that is being appended, by its number.
+    /// The batch that is being appended, with its number.
     appending: Option<(u64, AccountRecord)>,
     /// Batches that may still arrive late.
     late: Vec<AccountRecord>,
-    /// Tokens reserved whose request has not been sent yet.
-    checked: u64,
-    /// Tokens that the first holder's requests truly used.
+    /// Reserved tokens whose request was not sent yet.
+    unsent: u64,
+    /// Tokens that the first holder's requests really used.
     used: u64,
-    /// The newest line sent, for the weaker rule.
+    /// The newest limit sent, for [`LimitRule::NewestSent`].
     newest: Option<SpendingLimit>,
     killed: bool,
     closed: bool,
@@ -122,7 +123,7 @@
             drew: false,
             appending: None,
             late: Vec::new(),
-            checked: 0,
+            unsent: 0,
             used: 0,
             newest: None,
             killed: false,
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Appends `record`; the first holder, while it lives, sees its draws.
+    /// Appends `record`. The first holder sees the results of its draws while
+    /// it runs.
     fn append(&mut self, record: &AccountRecord) {
         let results = self.fold.apply(self.offset, std::slice::from_ref(record));
         self.offset += 1;
@@ -166,11 +168,12 @@
             self.killed,
             self.closed,
             self.reports,
-            self.checked,
+            self.unsent,
         );
         let limits = format!("{:?}", self.quota);
         let counts = (self.millis, self.used, self.other_used, self.other_serial);
-        // Without the offset: copies of an append lead to the same state.
+        // Leaves out the offset, so that repeated appends lead to the same
+        // state.
         let state = (
             self.fold.budgets(),
             late,
@@ -183,7 +186,7 @@
         codec::encode(&state).expect("the state is encoded")
     }
 
-    /// All states one step on.
+    /// All states that can follow this one.
     fn steps(&self, close_rule: CloseRule, limit_rule: LimitRule) -> Vec<Self> {
         let mut next = Vec::new();
         self.holder_steps(limit_rule, &mut next);
@@ -212,7 +215,7 @@
         next
     }
 
-    /// What the first holder does while it lives.
+    /// Adds the actions of the first holder while it runs.
     fn holder_steps(&self, limit_rule: LimitRule, next: &mut Vec<Self>) {
         if self.killed {
             return;
@@ -236,26 +239,27 @@
         };
         if allowed {
             next.push(self.with(|state| {
-                state.checked += 1;
+                state.unsent += 1;
                 let one = TokenCount::new(1);
                 if let Ok(reservation) = state.quota.reserve(one, state.now()) {
                     state.quota.settle(reservation, one);
                 } else {
-                    // The weaker rule spends what the purse refuses.
+                    // [`LimitRule::NewestSent`] spends tokens that the quota
+                    // refuses.
                     state.used += 1;
-                    state.checked -= 1;
+                    state.unsent -= 1;
                 }
             }));
         }
-        if self.checked > 0 {
+        if self.unsent > 0 {
             next.push(self.with(|state| {
-                state.checked -= 1;
+                state.unsent -= 1;
                 state.used += 1;
             }));
         }
     }
 
-    /// What becomes of appends: done and acknowledged, done with the reply
+    /// Adds the outcomes of an append: acknowledged, applied with the response
     /// lost, or late.
     fn store_steps(&self, next: &mut Vec<Self>) {
         if let Some((number, record)) = &self.appending {
@@ -283,7 +287,8 @@
         state
     }
 
-    /// Sends a report with a line of one token at once and one a second.
+    /// Sends a report. The first limit allows one token at once and one per
+    /// second.
     fn report(&mut self) {
         self.reports += 1;
         let limit = SpendingLimit {
@@ -311,7 +316,7 @@
 
     fn is_allowed_by_newest(&self) -> bool {
         let limit = self.newest.map(|limit| limit.allowed_at(self.now()));
-        let used = TokenCount::new(self.used + self.checked + 1);
+        let used = TokenCount::new(self.used + self.unsent + 1);
         let drawn = self.quota.available() + self.quota.used();
         limit.is_some_and(|limit| used <= limit) && used <= drawn
     }
@@ -343,7 +348,7 @@
     codec::encode(record).expect("a record is encoded")
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Default)]
 struct SearchResult {
     states: usize,
@@ -354,8 +359,8 @@
 fn search(close_rule: CloseRule, limit_rule: LimitRule, grows_after: u64) -> SearchResult {
     let mut result = SearchResult::default();
     let mut seen = HashSet::new();
-    let mut waiting = VecDeque::from([SearchState::start(grows_after)]);
-    while let Some(state) = waiting.pop_front() {
+    let mut queue = VecDeque::from([SearchState::start(grows_after)]);
+    while let Some(state) = queue.pop_front() {
         if !seen.insert(state.key()) {
             continue;
         }
@@ -363,14 +368,15 @@
         assert!(result.states < STATE_LIMIT, "the search does not end");
         if state.used + state.other_used > PREPAID {
             result.overspent += 1;
-            if result.overspent >= ENOUGH {
+            if result.overspent >= OVERSPENT_LIMIT {
                 return result;
             }
             continue;
         }
-        // More than what the holder left, so some of its rest was freed.
+        // The other machine spent more than the first holder left, so tokens of
+        // the closed account were freed.
         result.freed += usize::from(state.closed && state.other_used > PREPAID - 2);
-        waiting.extend(state.steps(close_rule, limit_rule));
+        queue.extend(state.steps(close_rule, limit_rule));
     }
     result
 }
@@ -394,7 +400,7 @@
 }
 
 #[test]
-fn keeping_only_to_the_newest_line_overspends() {
+fn respecting_only_the_newest_limit_overspends() {
     for grows_after in GROWS_AFTER {
         let result = search(CloseRule::SpentAtMost, LimitRule::NewestSent, grows_after);
         assert!(result.overspent > 0, "{grows_after}: {result:?}");
--- a/crates/hibiscus-ledger/tests/account_power.rs
+++ b/crates/hibiscus-ledger/tests/account_power.rs
@@ -1,10 +1,10 @@
-//! Accounts of machines that lose their power: steady clocks that begin anew,
-//! and times of day of which some are wrong.
+//! Accounts of machines that lose power: monotonic clocks restart, and some
+//! times of day are wrong.
 //!
-//! Random walks over the real fold and purse: machines draw, report, spend
-//! all that they may, are killed and lose power one by one or together, while
-//! appends are late, repeated and lost, and two of five clocks are set ahead
-//! and back at any moment.
+//! Random walks with the real fold and local quota. Machines draw, report,
+//! spend all that they may, are killed, and lose power one by one or together.
+//! Appends are late, repeated and lost. Two of the five clocks are set forward
+//! and back at any time.
 
 use std::collections::BTreeMap;
 
@@ -23,41 +23,41 @@
 use hibiscus_types::TokenCount;
 
 const MACHINES: usize = 5;
-/// Machines whose time of day is set ahead and back.
+/// Machines whose time of day is set forward and back.
 const WRONG_CLOCKS: usize = 2;
 const PREPAID: u64 = 60_000;
 const DRAW: u64 = 9_000;
 const PER_SECOND: u64 = 1_000;
-/// Between two reports some lines grow and others do not yet.
+/// Milliseconds until a limit grows: between two reports some limits grow and others do not.
 const GROWS_AFTER: u64 = 300;
 const STEPS: usize = 1_500;
 const WALKS: u64 = 300;
 const FIRST_MILLIS: u64 = 1_000_000_000;
 
-/// Whose time of day closes the account of a machine that lost its power.
+/// Whose time of day closes the account of a machine that lost power.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseRule {
-    /// What several machines agree on.
+    /// The time on which several machines agree.
     Agreement,
-    /// The machine's own.
+    /// The machine's own time.
     OwnClock,
 }
 
-/// One machine and its present process.
+/// A machine and its present process.
 struct WalkMachine {
     name: InstanceName,
     holder: IncarnationId,
-    /// What its time of day is ahead of the truth, in milliseconds.
+    /// Error of its time of day, in milliseconds; positive if it is ahead.
     ahead: i64,
-    steady_from: u64,
+    monotonic_start: u64,
     started: u64,
     quota: LocalQuota,
-    passed: TimeLowerBound,
+    time_lower_bound: TimeLowerBound,
     drawn: u64,
     reports: u64,
     batch: u64,
     appending: Option<Vec<AccountRecord>>,
-    /// Whether what its predecessors left is still to be closed.
+    /// Whether the accounts of earlier processes are still to be closed.
     recovering: bool,
 }
 
@@ -69,11 +69,12 @@
     machines: Vec<WalkMachine>,
     late: Vec<(usize, Vec<AccountRecord>)>,
     processes: u128,
-    /// Tokens that each process truly spent.
+    /// Tokens that each process really spent.
     used: BTreeMap<IncarnationId, u64>,
-    /// Accounts that were closed with less than their holder had spent.
+    /// Number of accounts that were closed with less than their holder had
+    /// spent.
     undercounted: usize,
-    /// Tokens that closed accounts freed after a loss of power.
+    /// Tokens that were freed by closing accounts after a power loss.
     freed: u64,
     random: fastrand::Rng,
 }
@@ -94,17 +95,17 @@
     fn now(&self, truth: u64) -> MachineTime {
         MachineTime {
             boot: 1,
-            millis: truth - self.steady_from,
+            millis: truth - self.monotonic_start,
             unix_millis: self.unix(truth),
         }
     }
 
-    /// The process ends and another starts.
+    /// Replaces the process by a new one.
     fn restart(&mut self, holder: IncarnationId, truth: u64) {
         self.holder = holder;
         self.started = truth;
         self.quota = LocalQuota::default();
-        self.passed = TimeLowerBound::default();
+        self.time_lower_bound = TimeLowerBound::default();
         self.drawn = 0;
         self.reports = 0;
         self.batch = 0;
@@ -112,7 +113,7 @@
         self.recovering = true;
     }
 
-    /// Queues a draw and a report, once the ones before were acknowledged.
+    /// Queues a draw and a report if the previous ones were acknowledged.
     fn report(&mut self, truth: u64) {
         if self.appending.is_some() || self.quota.has_unacknowledged() {
             return;
@@ -145,14 +146,14 @@
             spent: self.quota.spent(),
             returned: self.quota.returned(),
             limit,
-            created_after: self.passed.at(self.now(truth)),
+            created_after: self.time_lower_bound.at(self.now(truth)),
             demand: 0,
             transferred: TokenCount::ZERO,
         }));
         self.appending = Some(records);
     }
 
-    /// Spends all that it may; returns how much.
+    /// Spends all that is allowed. Returns the number of tokens spent.
     fn spend(&mut self, truth: u64) -> u64 {
         let now = self.now(truth);
         let allowed = self.quota.allowed(now).unwrap_or_default();
@@ -179,10 +180,10 @@
             name: InstanceName::new(format!("machine-{number}")),
             holder: IncarnationId::from_u128(number as u128 + 1),
             ahead: 0,
-            steady_from: 0,
+            monotonic_start: 0,
             started: FIRST_MILLIS,
             quota: LocalQuota::default(),
-            passed: TimeLowerBound::default(),
+            time_lower_bound: TimeLowerBound::default(),
             drawn: 0,
             reports: 0,
             batch: 0,
@@ -206,9 +207,11 @@
     fn append(&mut self, records: &[AccountRecord]) {
         let results = self.fold.apply(self.offset, records);
         self.offset += 1;
-        if let Some(passed) = self.fold.time_lower_bound() {
+        if let Some(time_lower_bound) = self.fold.time_lower_bound() {
             for machine in &mut self.machines {
-                machine.passed.observe(passed, machine.now(self.truth));
+                machine
+                    .time_lower_bound
+                    .observe(time_lower_bound, machine.now(self.truth));
             }
         }
         for result in results {
@@ -220,7 +223,7 @@
         }
     }
 
-    /// The append of `number` takes effect; its answer is lost now and then.
+    /// Applies the append of machine `number`; its response is sometimes lost.
     fn land(&mut self, number: usize) {
         let Some(records) = self.machines[number].appending.clone() else {
             return;
@@ -235,7 +238,8 @@
         machine.quota.acknowledge(machine.batch);
     }
 
-    /// The process of `number` ends, with the machine if `power` is lost.
+    /// Ends the process of machine `number`; with `power`, the machine loses
+    /// power.
     fn end(&mut self, number: usize, power: bool) {
         self.processes += 1;
         let machine = &mut self.machines[number];
@@ -243,12 +247,12 @@
             self.late.push((number, records));
         }
         if power {
-            machine.steady_from = self.truth - self.random.u64(..100_000);
+            machine.monotonic_start = self.truth - self.random.u64(..100_000);
         }
         machine.restart(IncarnationId::from_u128(self.processes), self.truth);
     }
 
-    /// The process of `number` closes what its predecessors left.
+    /// Closes the accounts of earlier processes of machine `number`.
     fn recover(&mut self, number: usize, rule: CloseRule) {
         let machine = &self.machines[number];
         if !machine.recovering {
@@ -257,10 +261,10 @@
         let since = self.truth - machine.started;
         let ended = match rule {
             CloseRule::Agreement => {
-                let mut asked: Vec<&WalkMachine> = self.machines.iter().collect();
-                self.random.shuffle(&mut asked);
-                asked.truncate(self.random.usize(2..=MACHINES));
-                let readings = asked.iter().map(|other| other.unix(self.truth) - since);
+                let mut requested: Vec<&WalkMachine> = self.machines.iter().collect();
+                self.random.shuffle(&mut requested);
+                requested.truncate(self.random.usize(2..=MACHINES));
+                let readings = requested.iter().map(|other| other.unix(self.truth) - since);
                 let readings: Vec<u64> = readings.collect();
                 agreement::agreed_upper_bound(&readings)
             }
@@ -268,7 +272,7 @@
         };
         let now = machine.now(self.truth);
         let mut closed = Vec::new();
-        let account = self.fold.budget(&budget()).expect("the budget is known");
+        let account = self.fold.budget(&budget()).expect("the budget exists");
         for (holder, held) in &account.holders {
             if held.machine != machine.name || *holder == machine.holder {
                 continue;
@@ -298,7 +302,7 @@
         self.append(&closed);
     }
 
-    /// Tokens that `number` passed on, and counted as spent, come back.
+    /// Refunds tokens that machine `number` transferred and counted as spent.
     fn refund(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         let used = self.used.entry(machine.holder).or_default();
@@ -336,8 +340,8 @@
     }
 }
 
-/// One walk; whether the budget was overspent or an account closed with too
-/// little, and the tokens freed.
+/// Runs a random walk. Returns whether the budget was overspent or an account
+/// was closed with too little, and the number of freed tokens.
 fn walk(seed: u64, rule: CloseRule) -> (bool, u64) {
     let mut world = WalkWorld::new(seed);
     for _step in 0..STEPS {
@@ -355,12 +359,12 @@
         assert!(!overspent, "seed {seed}");
         freed += more;
     }
-    // A tenth of a draw a walk, so that the walks reach what they are for.
+    // A tenth of a draw for each walk, so that the walks cover these closings.
     assert!(freed > WALKS * DRAW / 10, "{freed}");
 }
 
 #[test]
-fn trusting_a_machine_s_own_time_of_day_overspends() {
+fn trusting_the_machine_s_own_time_of_day_overspends() {
     let overspent = (0..WALKS).any(|seed| walk(seed, CloseRule::OwnClock).0);
     assert!(overspent);
 }
--- a/crates/hibiscus-traffic/tests/budgets.rs
+++ b/crates/hibiscus-traffic/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! One holder's desk: what it reports and when.
+//! Reports, draws and snapshots of one instance.
 
 mod fixtures;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A desk, and the stream that its batches go to.
+/// A budget manager, and the stream that its batches are appended to.
 struct ManagerCase {
     manager: BudgetManager,
     batches: Receiver<AccountBatch>,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Reviews at `now`, and has the store take what is sent; returns the
-    /// reports among it.
+    /// Reviews all budgets at `now` and appends the batches. Returns the
+    /// reports in them.
     fn review(&mut self, now: Duration) -> Vec<HolderReport> {
         self.manager.review(|_budget| role(true), now);
         let mut reports = Vec::new();
@@ -78,10 +78,11 @@
     }
 }
 
-/// A power cut of all machines: a line that was made long ago allows all that
-/// was drawn, so a team without requests lost it (seamline trouble-1).
+/// Guards against a power cut of all machines in which an idle team loses all
+/// its drawn tokens, because an old limit has grown to allow them (seamline
+/// trouble-1).
 #[test]
-fn a_holder_that_spends_nothing_makes_its_line_anew() {
+fn an_idle_holder_renews_its_spending_limit() {
     let mut case = ManagerCase::start();
     assert_eq!(case.review(Duration::ZERO).len(), 1);
     assert!(case.review(Duration::from_millis(1_500)).is_empty());
@@ -89,13 +90,14 @@
     assert_eq!(reports.len(), 1);
     let line = reports[0].limit;
     assert!(line.base.is_zero());
-    // Half of the first draw, a tenth of the total among seven, at the most.
+    // At most half of the first draw, which is a tenth of the total over the
+    // seven holders.
     let most = TokenCount::new(PREPAID / 10 / 7 / 2);
     assert!(line.allowed_after(2_000) < most, "{line:?}");
 }
 
 #[test]
-fn a_keeper_writes_a_snapshot_at_once_and_then_each_minute() {
+fn the_first_holder_writes_a_snapshot_at_once_and_then_every_minute() {
     let mut case = ManagerCase::start();
     let mut written = Vec::new();
     for second in 0..130 {
@@ -112,13 +114,14 @@
     assert_eq!(written, [1, 61, 121]);
 }
 
-/// A draw may be granted after the account was closed: the fold has freed it.
+/// A draw may be granted after the account was closed, when its tokens are free
+/// again.
 #[test]
-fn a_holder_that_stops_closes_its_account_and_spends_nothing_after() {
+fn a_shutdown_closes_the_account_and_spends_nothing_afterwards() {
     let mut case = ManagerCase::start();
     let budget = budget(0);
     let now = Duration::ZERO;
-    // The first draw is on its way when the stop ends.
+    // The first draw is pending at the end of the shutdown.
     case.manager.review(|_budget| role(true), now);
     case.manager.return_all_tokens(now);
     let mut fold = AccountFold::default();
@@ -129,7 +132,7 @@
         case.manager.apply(case.offset, &record, now);
         case.offset += 1;
     }
-    let account = fold.budget(&budget).expect("the budget is known");
+    let account = fold.budget(&budget).expect("the budget exists");
     assert_eq!(account.free(), TokenCount::new(PREPAID));
     assert!(account.holders.is_empty());
     let one = TokenCount::new(1);
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn a_holder_that_stops_with_a_request_in_progress_keeps_its_account_open() {
+fn a_shutdown_with_a_request_in_progress_keeps_the_account_open() {
     let mut case = ManagerCase::start();
     let budget = budget(0);
     case.review(Duration::ZERO);
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn records_that_are_read_once_more_bring_no_tokens_twice() {
+fn records_that_are_read_again_add_no_tokens_twice() {
     let mut case = ManagerCase::start();
     case.review(Duration::ZERO);
     case.manager.resume(0, Vec::new());
@@ -171,33 +174,33 @@
     assert_eq!(reserved, Err(ReservationError::NotDrawn));
 }
 
-/// Guards against a refusal for good while tokens that another holder passed
-/// on may still come back (issue 17).
+/// Guards against a final refusal while tokens that another holder transferred
+/// may still come back (issue 17).
 #[test]
-fn tokens_that_another_holder_passed_on_are_not_taken_for_spent() {
+fn tokens_that_another_holder_transferred_do_not_count_as_spent() {
     let mut case = ManagerCase::start();
     case.review(Duration::ZERO);
     let budget = budget(0);
     let other = IncarnationId::from_u128(9);
-    let passed = TokenCount::new(PREPAID / 2);
+    let amount = TokenCount::new(PREPAID / 2);
     let records = vec![
         AccountRecord::Draw {
             budget: budget.clone(),
             holder: other,
             machine: "front-9".into(),
             serial: 1,
-            tokens: passed,
+            tokens: amount,
         },
         AccountRecord::Report(HolderReport {
             budget: budget.clone(),
             holder: other,
             serial: 1,
-            spent: passed,
+            spent: amount,
             returned: TokenCount::ZERO,
             limit: SpendingLimit::default(),
             created_after: None,
             demand: 0,
-            transferred: passed,
+            transferred: amount,
         }),
     ];
     let record = codec::encode(&records).expect("records are encoded");
@@ -211,19 +214,19 @@
     assert_eq!(refusal, Some(TokenRefusal::Spent));
 }
 
-/// Guards against a refusal for good while tokens that this holder gave back
-/// are on their way to the store and to be read again (found with issue 20).
+/// Guards against a final refusal while tokens that this holder returned are on
+/// their way to the store, or are not read back yet (found with issue 20).
 #[test]
-fn tokens_that_this_holder_gave_back_are_not_taken_for_spent() {
+fn tokens_that_this_holder_returned_do_not_count_as_spent() {
     let mut case = ManagerCase::start();
     case.review(Duration::ZERO);
     let budget = budget(0);
-    let relieved = BudgetRole {
+    let releasing = BudgetRole {
         mode: DrawMode::Release,
         ..role(false)
     };
     let now = Duration::from_millis(800);
-    case.manager.review(|_budget| relieved, now);
+    case.manager.review(|_budget| releasing, now);
     let batch = case.batches.try_recv().expect("a report");
     let all = TokenCount::new(PREPAID);
     assert_eq!(case.manager.refusal(&budget, all, now), None);
@@ -236,10 +239,10 @@
     assert_eq!(case.manager.refusal(&budget, all, now), None);
 }
 
-/// Guards against a draw that the store grants to a process that has closed
-/// its accounts (issue 17).
+/// Guards against a draw that is granted to a process with closed accounts
+/// (issue 17).
 #[test]
-fn a_holder_that_has_closed_its_accounts_draws_for_no_request() {
+fn a_holder_with_closed_accounts_draws_for_no_request() {
     let mut case = ManagerCase::start();
     case.manager.return_all_tokens(Duration::ZERO);
     assert!(case.manager.is_closed());
--- a/crates/hibiscus-traffic/tests/holders.rs
+++ b/crates/hibiscus-traffic/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Which instances hold the budgets of a fleet, and what that costs the store.
+//! Selection of the holders of budgets, and its cost for the store.
 
 mod fixtures;
 
@@ -34,16 +34,16 @@
     (0..size).map(instance).collect()
 }
 
-/// The holders of the budget `number` of `budgets` in `fleet`.
+/// The holders of the budget `number` out of `budgets` in `fleet`.
 fn holders_in(fleet: &[InstanceEntry], budgets: usize, number: usize) -> Vec<&InstanceEntry> {
     let groups = holders::group_count(budgets);
     let group = holders::group_of(&budget(number), groups);
     holders::holders_of(group, groups, fleet.iter())
 }
 
-/// Guards against a small fleet that pays a question for each request.
+/// Guards against a small fleet in which each request costs a peer request.
 #[test]
-fn a_small_fleet_holds_every_budget_everywhere() {
+fn every_instance_of_a_small_fleet_holds_every_budget() {
     let fleet = fleet(7);
     for number in 0..BUDGETS {
         let holders = holders_in(&fleet, BUDGETS, number);
@@ -51,40 +51,41 @@
     }
 }
 
-/// The size to design for: 810 instances and 130,000 budgets.
+/// Checks the designed size: 810 instances and 130,000 budgets.
 #[test]
-fn an_instance_asks_a_bounded_number_of_others_however_many_budgets_there_are() {
+fn an_instance_contacts_a_bounded_number_of_holders_for_any_number_of_budgets() {
     let fleet = fleet(810);
     for requester in fleet.iter().step_by(200) {
-        let mut asked = BTreeSet::new();
+        let mut requested = BTreeSet::new();
         for number in 0..200 {
             let mut holders = holders_in(&fleet, 130_000, number);
             holders::order_for(requester, &mut holders);
-            asked.insert(holders[0].name.clone());
+            requested.insert(holders[0].name.clone());
         }
-        assert!(asked.len() <= 16, "{}", asked.len());
+        assert!(requested.len() <= 16, "{}", requested.len());
     }
 }
 
-/// Guards against one death that moves the tokens of many budgets.
+/// Guards against a crash that moves the tokens of many budgets.
 #[test]
-fn the_death_of_an_instance_moves_one_place_among_the_holders() {
+fn the_crash_of_a_holder_replaces_only_that_holder() {
     let before = fleet(62);
     for number in 0..BUDGETS {
         let holders = holders_in(&before, BUDGETS, number);
-        let dead = holders[3].name.clone();
+        let crashed = holders[3].name.clone();
         let mut after = before.clone();
-        after.retain(|entry| entry.name != dead);
+        after.retain(|entry| entry.name != crashed);
         let kept = holders_in(&after, BUDGETS, number);
         let kept = kept.iter().filter(|entry| holders.contains(entry));
         assert_eq!(kept.count(), HOLDERS_PER_BUDGET - 1);
     }
 }
 
-/// Guards against small machines that hold budgets: after a start of all they
-/// are busy with their own callers while the whole fleet asks them (issue 28).
+/// Guards against small machines as holders: after a start of the whole fleet
+/// they are busy with their own callers while all instances request tokens from
+/// them (issue 28).
 #[test]
-fn large_machines_hold_and_each_data_centre_has_one_if_it_has_any() {
+fn holders_are_large_machines_spread_over_the_data_centres() {
     let mut fleet = fleet(195);
     for (number, entry) in fleet.iter_mut().enumerate() {
         entry.capacity = if number < 18 { 500 } else { 120 };
@@ -94,11 +95,11 @@
     assert!(holders.iter().all(|holder| holder.capacity == 500));
     let centres: BTreeSet<_> = holders.iter().map(|holder| &holder.data_centre).collect();
     assert_eq!(centres.len(), 4);
-    // With most of the large ones gone the others take part.
+    // If most large machines are gone, smaller ones become holders.
     fleet.drain(..12);
     let holders = holders_in(&fleet, 40, 7);
     assert_eq!(holders.len(), HOLDERS_PER_BUDGET);
-    // With many groups the large ones alone would hold too much.
+    // With many groups, large machines alone would hold too many budgets.
     let groups = holders::group_count(130_000);
     let mut all = BTreeSet::new();
     for group in 0..groups {
@@ -109,50 +110,50 @@
     assert!(all.len() > 64, "{}", all.len());
 }
 
-/// Guards against a start of all at which each instance asks many others, each
-/// over a new connection (issue 28).
+/// Guards against a start of the whole fleet at which each instance contacts
+/// many others, each over a new connection (issue 28).
 #[test]
-fn an_instance_asks_one_other_first_for_all_budgets_of_a_deployment() {
+fn an_instance_prefers_one_holder_for_all_budgets_of_a_deployment() {
     let fleet = fleet(195);
     for requester in fleet.iter().step_by(20) {
-        let mut asked = BTreeSet::new();
+        let mut requested = BTreeSet::new();
         for number in 0..40 {
             let mut holders = holders_in(&fleet, 40, number);
             holders.retain(|holder| holder.name != requester.name);
             holders::order_for(requester, &mut holders);
-            asked.insert(holders[0].name.clone());
+            requested.insert(holders[0].name.clone());
         }
-        assert_eq!(asked.len(), 1);
+        assert_eq!(requested.len(), 1);
     }
 }
 
-/// Guards against a wait at a silent holder for each request: one question a
-/// second finds out whether it answers again (issue 28).
+/// Guards against requests that each wait for an unresponsive holder: one
+/// request per second checks whether it responds again (issue 28).
 #[test]
-fn a_silent_holder_is_asked_by_one_request_a_second() {
+fn an_unresponsive_holder_gets_one_request_per_second() {
     let addresses: Vec<SocketAddr> = fleet(3).iter().map(|entry| entry.peers).collect();
     let mut failures = HolderFailures::default();
     failures.note_no_response(addresses[0], Duration::ZERO);
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for tick in 0..300 {
         let now = Duration::from_millis(tick * 10);
         let mut holders = addresses.clone();
         failures.choose(&budget(1), &mut holders, now);
         if holders.contains(&addresses[0]) {
-            asked.push(tick * 10);
+            requested.push(tick * 10);
         }
     }
-    assert_eq!(asked, [1_000, 2_000]);
+    assert_eq!(requested, [1_000, 2_000]);
     failures.note_response(addresses[0], Duration::from_secs(3));
     let mut holders = addresses.clone();
     failures.choose(&budget(1), &mut holders, Duration::from_secs(3));
     assert_eq!(holders, addresses);
 }
 
-/// Guards against holders that are left out since the store is slow, and with
-/// them the budgets' tokens.
+/// Guards against skipping holders, and with them the budgets' tokens, because
+/// the store is slow.
 #[test]
-fn a_holder_that_answers_others_slowly_is_asked_last_and_not_left_out() {
+fn a_slow_holder_that_recently_responded_comes_last_and_is_not_skipped() {
     let addresses: Vec<SocketAddr> = fleet(3).iter().map(|entry| entry.peers).collect();
     let mut failures = HolderFailures::default();
     let now = Duration::from_secs(5);
@@ -164,30 +165,31 @@
     assert_eq!(holders, [addresses[2], addresses[0]]);
 }
 
-/// Guards against requests that are refused since the nearest holders are
-/// without the store, while others have tokens (issue 17).
+/// Guards against requests that are refused because the nearest holders cannot
+/// reach the store, while others have tokens (issue 17).
 #[test]
-fn a_holder_that_had_no_tokens_is_asked_after_the_others_for_a_while() {
+fn a_holder_that_refused_comes_after_the_others_for_a_while() {
     let addresses: Vec<SocketAddr> = fleet(4).iter().map(|entry| entry.peers).collect();
     let mut failures = HolderFailures::default();
-    let begun = Duration::from_secs(10);
-    failures.note_refusal(&budget(1), addresses[0], begun);
+    let refused_at = Duration::from_secs(10);
+    failures.note_refusal(&budget(1), addresses[0], refused_at);
     let sorted = |number: usize, now: Duration| {
         let mut holders = addresses.clone();
         failures.sort(&budget(number), &mut holders, now);
         holders
     };
     let rotated = [addresses[1], addresses[2], addresses[3], addresses[0]];
-    assert_eq!(sorted(1, begun + Duration::from_millis(500)), rotated);
-    assert_eq!(sorted(2, begun), addresses);
-    assert_eq!(sorted(1, begun + Duration::from_secs(2)), addresses);
+    assert_eq!(sorted(1, refused_at + Duration::from_millis(500)), rotated);
+    assert_eq!(sorted(2, refused_at), addresses);
+    assert_eq!(sorted(1, refused_at + Duration::from_secs(2)), addresses);
 }
 
-/// The desks of a fleet that share one store.
+/// The budget managers of a fleet that share one store.
 struct ManagerFleet {
     managers: Vec<(InstanceEntry, BudgetManager, Receiver<AccountBatch>)>,
     fold: AccountFold,
-    /// Draws and reports; totals are written once a configuration.
+    /// Number of draws and reports. Totals are left out: they are written once
+    /// for each configuration.
     records: usize,
 }
 
@@ -210,7 +212,7 @@
         }
     }
 
-    /// All instances review, and the store takes what they send.
+    /// Lets all instances review their budgets and appends their batches.
     fn step(&mut self, now: Duration) {
         let entries: Vec<InstanceEntry> = self
             .managers
@@ -253,9 +255,9 @@
     }
 }
 
-/// Guards against accounts that grow with the fleet times the budgets: 62
-/// instances appended some 750 records a second and held tokens too thin to
-/// serve a request (issue 17).
+/// Guards against accounts that grow with the number of instances times the
+/// number of budgets: 62 instances appended about 750 records per second, and
+/// tokens were spread too thin to serve a request (issue 17).
 #[test]
 fn the_accounts_of_a_large_fleet_do_not_grow_with_its_instances() {
     let mut fleet = ManagerFleet::start(62);
@@ -265,7 +267,7 @@
     let accounts = fleet.fold.budgets().values();
     let accounts: usize = accounts.map(|account| account.holders.len()).sum();
     assert_eq!(accounts, BUDGETS * HOLDERS_PER_BUDGET);
-    // A draw and two lines an account.
+    // One draw and two limits for each account.
     let most = accounts * 3;
     assert!(fleet.records <= most, "{} of {most}", fleet.records);
     // Each holder has enough for the largest request of the deployments.
--- a/crates/hibiscus-traffic/tests/memory_pressure.rs
+++ b/crates/hibiscus-traffic/tests/memory_pressure.rs
@@ -1,4 +1,4 @@
-//! What a process does as its memory runs out.
+//! Reaction of a process to memory pressure.
 
 use hibiscus_traffic::memory_pressure::FULL_REQUEST_LIMIT;
 use hibiscus_traffic::memory_pressure::MemoryPressure;
@@ -12,8 +12,8 @@
     MEMORY / 100 * share
 }
 
-// Guards against a process that takes requests until the system kills it and
-// loses all of them.
+// Guards against a process that accepts requests until the system kills it and
+// all of them are lost.
 #[test]
 fn requests_are_refused_before_the_memory_is_used_up() {
     let mut gauge = PressureGauge::new(MEMORY);
@@ -24,10 +24,10 @@
     assert!(!gauge.level().admits(FULL_REQUEST_LIMIT + 1));
 }
 
-// Guards against refusing callers while memory can be had by dropping what is
-// only kept.
+// Guards against refusing callers while memory can be freed by dropping kept
+// connections.
 #[test]
-fn kept_connections_are_given_up_before_callers_are_refused() {
+fn kept_connections_are_dropped_before_callers_are_refused() {
     let mut gauge = PressureGauge::new(MEMORY);
     let mut levels = vec![gauge.level()];
     for share in 0..=100 {
@@ -43,25 +43,25 @@
     assert_eq!(levels, order);
 }
 
-// Guards against a level that is entered and left at each look.
+// Guards against a level that flaps between two checks.
 #[test]
-fn a_level_is_left_only_well_below_where_it_was_entered() {
+fn a_level_ends_only_well_below_the_threshold_at_which_it_began() {
     let mut gauge = PressureGauge::new(MEMORY);
     let entered = (0..=100).find(|share| {
         gauge.observe(percent(*share));
         gauge.level() == MemoryPressure::Full
     });
-    let entered = entered.expect("it is full in the end");
+    let entered = entered.expect("the memory becomes full");
     assert!(!gauge.observe(percent(entered - 2)));
     assert_eq!(gauge.level(), MemoryPressure::Full);
     assert!(gauge.observe(percent(entered - 6)));
     assert!(gauge.level() < MemoryPressure::Full);
 }
 
-// Guards against a process that serves nobody for ever: memory that was freed
-// stays with it.
+// Guards against a process that refuses all requests forever, because freed
+// memory stays with the process.
 #[test]
-fn a_full_process_with_little_to_do_serves_on() {
+fn a_process_with_full_memory_and_few_requests_still_serves() {
     let mut gauge = PressureGauge::new(MEMORY);
     gauge.observe(percent(97));
     assert!(gauge.level().admits(1));
--- a/crates/hibiscus-traffic/tests/power_cut.rs
+++ b/crates/hibiscus-traffic/tests/power_cut.rs
@@ -1,10 +1,11 @@
-//! A power cut of all machines at once, twice in a day, under load.
+//! Simulates two power cuts of all machines in one day under load.
 //!
-//! The desks of the holders and the order in which the others ask them are the
-//! real ones; the store, the link and the clock are simulated. All instances
-//! start in the same second, with callers who do not wait for them. What is
-//! printed: requests served, refused, and refused though ten times their tokens
-//! were free; tokens lost; questions, draws and appends.
+//! The holders' budget managers and the order in which other instances contact
+//! them are real; the store, the peer link and the clock are simulated. All
+//! instances start in the same second, and callers do not wait for them. Prints
+//! the number of requests served, refused, and refused while ten times their
+//! tokens were free; the lost tokens; and the number of peer requests, draws
+//! and appends.
 
 mod fixtures;
 
@@ -42,47 +43,48 @@
 const BUDGETS: usize = 40;
 /// Seconds of traffic.
 const DAY_SECONDS: u64 = 40;
-/// When all machines lose power, in milliseconds.
+/// Times at which all machines lose power, in milliseconds.
 const CUTS: [u64; 2] = [14_000, 28_000];
-/// Time for which they have none, in milliseconds.
+/// Duration of a power cut, in milliseconds.
 const DOWN_MS: u64 = 1_000;
-/// Totals as a multiple of the day's use.
+/// Totals as a multiple of the tokens used in the day.
 const PREPAID_FACTOR: f64 = 1.3;
-/// Requests a second over all budgets.
+/// Requests per second over all budgets.
 const REQUESTS: u64 = 400;
-/// Steps of the simulated time, in milliseconds.
+/// Step of the simulated time, in milliseconds.
 const STEP_MS: u64 = 5;
-/// Time between two looks at all budgets, in milliseconds.
+/// Time between two reviews of all budgets, in milliseconds.
 const TICK_MS: u64 = 250;
 /// Time that a request waits at a holder, in milliseconds.
 const WAIT_MS: u64 = 600;
-/// Time for which a request runs, in milliseconds.
+/// Running time of a request, in milliseconds.
 const RUN_MS: u64 = 1_000;
-/// Time after which a question went to its holder, in milliseconds.
+/// Delay of a peer request to a holder, in milliseconds.
 const LINK_MS: u64 = 5;
-/// Time of a handshake at its holder, in milliseconds of half a core.
+/// Time of a handshake at a holder with half a core, in milliseconds.
 const HANDSHAKE_MS: u64 = 28;
-/// Time from the start of a process until it knows the others, in milliseconds.
+/// Time from the start of a process until it knows the other instances, in
+/// milliseconds.
 const START_MS: u64 = 400;
-/// Time after the machines are back from which on free tokens must be had, in
+/// Time from the return of power until free tokens must be available, in
 /// milliseconds.
 const BACK_MS: u64 = 3_000;
-/// How far free tokens exceed a request that must not be refused.
+/// A request must not be refused if this many times its tokens are free.
 const FREE_FACTOR: u64 = 10;
-/// Part of a total that two cuts may take along.
-const LOST_PART: f64 = 0.03;
+/// Largest ratio of the totals that two power cuts may lose.
+const LOST_RATIO: f64 = 0.03;
 
-/// A request on its way to its tokens.
+/// A request that waits for tokens.
 struct WaitingRequest {
     budget: usize,
     tokens: u64,
-    /// What it uses in the end.
+    /// Tokens that the request uses.
     uses: u64,
     since: u64,
-    wanted: bool,
+    is_registered: bool,
 }
 
-/// A request that has its tokens.
+/// A request that has reserved its tokens.
 struct RunningRequest {
     budget: usize,
     reservation: QuotaReservation,
@@ -90,39 +92,40 @@
     ends: u64,
 }
 
-/// One holder's process.
+/// The process of one holder.
 struct SimHolder {
     entry: InstanceEntry,
     manager: BudgetManager,
     batches: Receiver<AccountBatch>,
     clock: Rc<Cell<MachineTime>>,
-    /// Batch at the store, and when it answers.
+    /// Batch that is being appended, and when the store acknowledges it.
     appending: Option<(AccountBatch, u64)>,
-    /// Records of the stream that it reads, by time.
+    /// Records of the stream with their offsets, and when the holder reads
+    /// them.
     reading: VecDeque<(u64, u64, Vec<u8>)>,
-    /// Requests that reach it, by time.
+    /// Requests, and when they reach the holder.
     arriving: VecDeque<(u64, WaitingRequest)>,
     waiting: Vec<WaitingRequest>,
     running: Vec<RunningRequest>,
-    /// Askers that have a connection.
+    /// Which instances have a connection to the holder.
     requesters: Vec<bool>,
-    /// When it has made the handshakes that it was asked for.
+    /// When the holder has completed all requested handshakes.
     free_at: u64,
     recovers_at: Option<u64>,
 }
 
-/// What the day came to.
+/// Results of a day.
 #[derive(Default)]
 struct DayResult {
     served: u64,
     refused: u64,
     refused_with_free: u64,
-    questions: u64,
+    peer_requests: u64,
     appends: u64,
     draws: u64,
-    /// Tokens of accounts that were closed with more than was used, by budget.
+    /// Tokens lost by budget: accounts closed with more than was used.
     lost: BTreeMap<usize, u64>,
-    /// Those of them that requests in progress had set aside.
+    /// Lost tokens that requests in progress had reserved.
     in_progress: u64,
 }
 
@@ -130,11 +133,11 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "served {}, refused {}, with ten times their tokens free {}, questions {}, draws {}, appends {}",
+            "served {}, refused {}, with ten times their tokens free {}, peer requests {}, draws {}, appends {}",
             self.served,
             self.refused,
             self.refused_with_free,
-            self.questions,
+            self.peer_requests,
             self.draws,
             self.appends
         )
@@ -153,11 +156,11 @@
     prepaid: Vec<u64>,
     weights: Vec<u64>,
     processes: u128,
-    /// Tokens that requests truly used, by budget.
+    /// Tokens that requests really used, by budget.
     used: Vec<u64>,
-    /// The same, by process.
+    /// Tokens that requests really used, by budget and process.
     used_by: BTreeMap<(usize, IncarnationId), u64>,
-    back_since: u64,
+    power_back_at: u64,
     random: fastrand::Rng,
     result: DayResult,
 }
@@ -190,7 +193,7 @@
             processes: 1_000,
             used: vec![0; BUDGETS],
             used_by: BTreeMap::new(),
-            back_since: 0,
+            power_back_at: 0,
             random: fastrand::Rng::with_seed(seed),
             result: DayResult::default(),
         };
@@ -198,16 +201,16 @@
         fleet
     }
 
-    /// The entries of the holders; all budgets have the same.
-    fn holding(&self) -> Vec<InstanceEntry> {
+    /// Entries of the holders, which are the same for all budgets.
+    fn holder_entries(&self) -> Vec<InstanceEntry> {
         let groups = holders::group_count(BUDGETS);
         let chosen = holders::holders_of(0, groups, self.instances.iter());
         chosen.into_iter().cloned().collect()
     }
 
-    /// All processes start, with nothing but the stream.
+    /// Starts all processes; only the stream has survived.
     fn power_on(&mut self) {
-        for entry in self.holding() {
+        for entry in self.holder_entries() {
             self.processes += 1;
             let holder = IncarnationId::from_u128(self.processes);
             let clock = Rc::new(Cell::new(MachineTime::default()));
@@ -238,14 +241,15 @@
                 recovers_at: Some(ready + STEP_MS),
             });
         }
-        self.back_since = self.now;
+        self.power_back_at = self.now;
         self.set_clocks();
         for holder in &mut self.holders {
             holder.manager.set_start_time();
         }
     }
 
-    /// All machines lose power: requests end, appends may still take effect.
+    /// Cuts the power of all machines: requests end, and pending appends may
+    /// still take effect.
     fn power_off(&mut self) {
         for holder in std::mem::take(&mut self.holders) {
             if let Some((batch, _answers)) = holder.appending
@@ -254,7 +258,8 @@
                 self.append(&batch.records);
             }
             for request in holder.running {
-                // The server has read the prompt; some of the answer came.
+                // The server has read the prompt, and part of the response has
+                // arrived.
                 let used = self.random.u64(request.uses / 2..=request.uses);
                 self.result.in_progress += request.reservation.tokens.get() - used;
                 self.use_tokens(request.budget, holder.manager.process_start().0, used);
@@ -267,8 +272,8 @@
             let skew = (number as u64 * 7) % 40;
             holder.clock.set(MachineTime {
                 boot: 1,
-                // The steady clock begins anew with the power.
-                millis: self.now - self.back_since + 3_000,
+                // The monotonic clock restarts with the power.
+                millis: self.now - self.power_back_at + 3_000,
                 unix_millis: 1_000_000_000 + self.now + skew,
             });
         }
@@ -279,7 +284,7 @@
         *self.used_by.entry((budget, holder)).or_default() += tokens;
     }
 
-    /// The store takes `records`; all holders read them a little later.
+    /// Appends `records`; all holders read them a little later.
     fn append(&mut self, records: &[AccountRecord]) {
         if records.is_empty() {
             return;
@@ -305,7 +310,8 @@
         self.stream.push(encoded);
     }
 
-    /// The account of `holder` is closed: what it did not use is lost.
+    /// Counts the tokens lost when the account of `holder` is closed with
+    /// `spent`.
     fn count_lost(&mut self, name: &BudgetName, holder: IncarnationId, spent: TokenCount) {
         let account = self
             .fold
@@ -315,7 +321,7 @@
             return;
         }
         let number = (0..BUDGETS).find(|number| budget(*number) == *name);
-        let number = number.expect("a budget of the fleet");
+        let number = number.expect("the budget belongs to the fleet");
         let used = self.used_by.get(&(number, holder)).copied().unwrap_or(0);
         assert!(
             spent.get() >= used,
@@ -324,7 +330,7 @@
         *self.result.lost.entry(number).or_default() += spent.get() - used;
     }
 
-    /// A caller sends a request to any instance.
+    /// Sends a caller's request to a random instance.
     fn send_request(&mut self) {
         let all: u64 = self.weights.iter().sum();
         let mut pick = self.random.u64(..all);
@@ -340,7 +346,7 @@
             .holders
             .iter()
             .position(|holder| holder.entry.name == entry.name);
-        let (target, hop) = match own {
+        let (target, delay) = match own {
             Some(own) => (own, 0),
             None => {
                 let mut order: Vec<&InstanceEntry> =
@@ -351,7 +357,7 @@
                     .holders
                     .iter()
                     .position(|holder| Some(&holder.entry.name) == first.as_ref());
-                self.result.questions += 1;
+                self.result.peer_requests += 1;
                 (target.unwrap_or_default(), LINK_MS)
             }
         };
@@ -360,14 +366,14 @@
             tokens,
             uses,
             since: self.now,
-            wanted: false,
+            is_registered: false,
         };
         let Some(holder) = self.holders.get_mut(target) else {
             self.result.refused += 1;
             return;
         };
-        let mut arrives = self.now + hop;
-        if hop > 0 && !std::mem::replace(&mut holder.requesters[requester], true) {
+        let mut arrives = self.now + delay;
+        if delay > 0 && !std::mem::replace(&mut holder.requesters[requester], true) {
             holder.free_at = holder.free_at.max(self.now) + HANDSHAKE_MS;
             arrives = holder.free_at;
         }
@@ -379,7 +385,7 @@
         self.set_clocks();
         let millis = Duration::from_millis(self.now);
         let ticks = self.now.is_multiple_of(TICK_MS);
-        let count = u32::try_from(self.holders.len()).expect("a few holders");
+        let count = u32::try_from(self.holders.len()).expect("the number of holders fits u32");
         let mut landed = Vec::new();
         for (number, holder) in self.holders.iter_mut().enumerate() {
             let role = |_budget: &BudgetName| BudgetRole {
@@ -399,7 +405,7 @@
             if holder.recovers_at.is_some_and(|at| at <= self.now) {
                 holder.recovers_at = None;
                 holder.manager.recover();
-                let began = holder.clock.get().unix_millis - (self.now - self.back_since);
+                let began = holder.clock.get().unix_millis - (self.now - self.power_back_at);
                 let readings = [began, began + 20, began + 5, began + 12];
                 holder
                     .manager
@@ -428,7 +434,7 @@
                 let tokens = TokenCount::new(request.tokens);
                 if let Ok(reservation) = holder.manager.reserve(&name, tokens, millis) {
                     holder.manager.count_demand(&name, tokens, millis);
-                    if request.wanted {
+                    if request.is_registered {
                         holder.manager.remove_waiter(&name, tokens);
                     }
                     self.result.served += 1;
@@ -440,8 +446,8 @@
                     });
                     continue;
                 }
-                if !request.wanted {
-                    request.wanted = true;
+                if !request.is_registered {
+                    request.is_registered = true;
                     let _changed = holder.manager.add_waiter(&name, tokens);
                 }
                 let refused = holder.manager.refusal(&name, tokens, millis).is_some();
@@ -449,7 +455,7 @@
                     holder.manager.remove_waiter(&name, tokens);
                     self.result.refused += 1;
                     let free = self.fold.budget(&name).map(|known| known.free().get());
-                    let is_back = self.now >= self.back_since + BACK_MS;
+                    let is_back = self.now >= self.power_back_at + BACK_MS;
                     let enough = free.is_some_and(|free| free >= request.tokens * FREE_FACTOR);
                     self.result.refused_with_free += u64::from(is_back && enough);
                     continue;
@@ -501,8 +507,8 @@
         }
     }
 
-    /// Plays the day.
-    fn play(&mut self) {
+    /// Simulates the day.
+    fn run_day(&mut self) {
         let mut cuts = CUTS.into_iter().peekable();
         let mut back_at = None;
         let mut owed = 0.0;
@@ -530,15 +536,16 @@
         }
     }
 
-    /// The part of all totals that was lost, but for what was in progress.
-    fn lost_part(&self) -> f64 {
+    /// Ratio of the totals that was lost, without the tokens of requests in
+    /// progress.
+    fn lost_ratio(&self) -> f64 {
         let lost: u64 = self.result.lost.values().sum();
         lost.saturating_sub(self.result.in_progress) as f64
             / self.prepaid.iter().sum::<u64>() as f64
     }
 }
 
-/// The most that a request may cost, and what it uses.
+/// The most that a request may cost, and the tokens that it uses.
 fn request_tokens(random: &mut fastrand::Rng) -> (u64, u64) {
     let prompt = match random.u8(..10) {
         0..4 => random.u64(4_000..14_000),
@@ -556,55 +563,59 @@
     uses.sum::<u64>() as f64 / 20_000.0
 }
 
-/// Plays the day with `size` instances and prints what it came to.
-fn play(size: usize) -> SimFleet {
+/// Simulates the day with `size` instances and prints the results.
+fn run_fleet(size: usize) -> SimFleet {
     let mut fleet = SimFleet::start(size, 10, 7);
-    fleet.play();
+    fleet.run_day();
     println!(
         "{size} instances: lost {:.4} of the totals; {}",
-        fleet.lost_part(),
+        fleet.lost_ratio(),
         fleet.result
     );
     fleet
 }
 
-/// Fails when requests were refused though their tokens were free, or when what
-/// the fleet says to itself grows with its size.
+/// Checks that no request was refused while its tokens were free, and that the
+/// number of peer requests, appends and draws does not grow with the fleet.
 fn check_free_tokens(size: usize) {
-    let result = play(size).result;
+    let result = run_fleet(size).result;
     assert_eq!(result.refused_with_free, 0, "{size}: {result}");
     let requests = result.served + result.refused;
-    assert!(result.questions <= requests, "{size}: {result}");
-    // A holder appends one batch after the other at the most.
+    assert!(result.peer_requests <= requests, "{size}: {result}");
+    // A holder appends one batch at a time.
     let most = HOLDERS_PER_BUDGET as u64 * DAY_SECONDS * 100;
     assert!(result.appends <= most, "{size}: {result}");
     assert!(result.draws <= 2 * requests, "{size}: {result}");
 }
 
-/// Guards against a fleet that refuses requests after a power cut of all though
-/// their tokens are free: 208 of 259 refusals, with ten times the tokens free,
-/// 8 s after the cut of 195 instances (issue 28).
+/// Guards against refusals after a power cut of all machines while tokens are
+/// free: 208 of 259 refusals had ten times their tokens free 8 s after the
+/// power cut of 195 instances (issue 28).
 #[test]
 fn seven_instances_have_free_tokens_soon_after_a_power_cut_of_all() {
     check_free_tokens(7);
 }
 
-/// As above.
+/// See above.
 #[test]
 fn sixty_two_instances_have_free_tokens_soon_after_a_power_cut_of_all() {
     check_free_tokens(62);
 }
 
-/// As above.
+/// See above.
 #[test]
 fn two_hundred_instances_have_free_tokens_soon_after_a_power_cut_of_all() {
     check_free_tokens(195);
 }
 
-/// Guards against holdings that a power cut of all takes along: a fifth of the
-/// totals at one cut (issue 28).
+/// Guards against a power cut of all machines that loses the held tokens: a
+/// fifth of the totals in one power cut (issue 28).
 #[test]
 fn two_power_cuts_of_all_leave_97_in_100_of_the_totals() {
-    let fleet = play(195);
-    assert!(fleet.lost_part() <= LOST_PART, "{:.4}", fleet.lost_part());
+    let fleet = run_fleet(195);
+    assert!(
+        fleet.lost_ratio() <= LOST_RATIO,
+        "{:.4}",
+        fleet.lost_ratio()
+    );
 }
--- a/crates/hibiscus-traffic/tests/shares.rs
+++ b/crates/hibiscus-traffic/tests/shares.rs
@@ -1,4 +1,4 @@
-//! What each duty may take of a machine.
+//! Resource limits of a process.
 
 use hibiscus_traffic::shares::MemoryShares;
 
@@ -6,14 +6,14 @@
 /// deployments.
 const MACHINES: [(usize, usize); 2] = [(88_000_000, 4_100), (512_000_000, 8_192)];
 
-/// Least part of a machine's memory that no bound may give out: pages of the
-/// store, the link to the other instances and freed memory have none.
+/// Smallest ratio of a machine's memory that no limit may assign. Pages of the
+/// store, the peer link and freed memory have no limit of their own.
 const LEAST_RESERVE: f64 = 0.2;
 
-// Guards against bounds that each fit the machine and together exceed it, so
-// that the system kills the process with all requests on it.
+// Guards against limits that each fit the machine but together exceed its
+// memory, so that the system kills the process with all its requests.
 #[test]
-fn all_bounds_together_stay_below_the_machines_memory() {
+fn all_limits_together_fit_the_memory_of_the_machine() {
     for (memory, descriptors) in MACHINES {
         let bounds = MemoryShares::of_machine(memory, descriptors);
         assert!(
@@ -36,18 +36,18 @@
     }
 }
 
-// Guards against a machine with little memory that bounds everything to none.
+// Guards against limits of zero on a machine with little memory.
 #[test]
-fn a_machine_of_little_memory_still_serves() {
+fn a_machine_with_little_memory_still_serves() {
     let bounds = MemoryShares::of_machine(20_000_000, 1_024);
     assert!(bounds.max_memory() <= 20_000_000);
     assert!(bounds.callers.connections > 50);
     assert!(bounds.callers.body_bytes > 1_000_000);
 }
 
-// Guards against more callers than the memory or the descriptors bear.
+// Guards against more callers than the memory or the descriptors can support.
 #[test]
-fn a_small_machine_bounds_callers_by_its_memory_and_its_descriptors() {
+fn callers_are_limited_by_memory_and_by_descriptors() {
     let by_memory = MemoryShares::of_machine(88_000_000, 100_000).callers;
     assert!(by_memory.connections * 24 * 1024 <= 88_000_000 * 35 / 100);
     let by_descriptors = MemoryShares::of_machine(1 << 40, 4_100).callers;
