--- a/crates/hibiscus-ledger/src/account/agreement.rs
+++ b/crates/hibiscus-ledger/src/account/agreement.rs
@@ -95,7 +95,7 @@
 impl TimeLowerBound {
     /// Records that the time of day `lower_bound` had passed at `now`.
     pub fn observe(&mut self, lower_bound: u64, now: MachineTime) {
-        if self.at(now).is_none_or(|known| lower_bound > known) {
+        if self.at(now).is_none_or(|previous| lower_bound > previous) {
             self.anchor = Some((lower_bound, now));
         }
     }
--- a/crates/hibiscus-ledger/src/account/limit.rs
+++ b/crates/hibiscus-ledger/src/account/limit.rs
@@ -35,12 +35,12 @@
         if self.boot == 0 || self.boot != earlier.boot {
             return None;
         }
-        let steady = self.millis.checked_sub(earlier.millis)?;
+        let monotonic = self.millis.checked_sub(earlier.millis)?;
         let of_day = self.unix_millis.checked_sub(earlier.unix_millis)?;
-        if steady.abs_diff(of_day) > CLOCK_TOLERANCE_MS {
+        if monotonic.abs_diff(of_day) > CLOCK_TOLERANCE_MS {
             return None;
         }
-        Some(steady.max(of_day))
+        Some(monotonic.max(of_day))
     }
 }
 
--- a/crates/hibiscus-ledger/tests/account.rs
+++ b/crates/hibiscus-ledger/tests/account.rs
@@ -592,8 +592,8 @@
     assert_eq!(decision.draw, tokens(10_000));
 }
 
-/// Guards against account records that accumulate while the store is away and
-/// form a record that the store rejects forever (issue 20).
+/// Guards against account records that accumulate while the store is
+/// unreachable and form a record that the store rejects forever (issue 20).
 #[test]
 fn a_large_batch_of_account_records_is_split_and_decodes_to_the_same_records() {
     const LIMIT: usize = 1_000;
--- a/crates/hibiscus-ledger/tests/account_power.rs
+++ b/crates/hibiscus-ledger/tests/account_power.rs
@@ -28,7 +28,8 @@
 const PREPAID: u64 = 60_000;
 const DRAW: u64 = 9_000;
 const PER_SECOND: u64 = 1_000;
-/// Milliseconds until a limit grows: between two reports some limits grow and others do not.
+/// Milliseconds until a limit grows: between two reports some limits grow and
+/// others do not.
 const GROWS_AFTER: u64 = 300;
 const STEPS: usize = 1_500;
 const WALKS: u64 = 300;
--- a/crates/hibiscus-traffic/src/budgets.rs
+++ b/crates/hibiscus-traffic/src/budgets.rs
@@ -410,9 +410,9 @@
             self.sent.pop_front();
         }
         if let Some(at) = oldest {
-            let taken = now.saturating_sub(at);
+            let delay = now.saturating_sub(at);
             let kept = self.store_delay.mul_f64(1.0 - DELAY_WEIGHT);
-            self.store_delay = kept + taken.mul_f64(DELAY_WEIGHT);
+            self.store_delay = kept + delay.mul_f64(DELAY_WEIGHT);
         }
     }
 
--- a/crates/hibiscus-traffic/src/budgets/handle.rs
+++ b/crates/hibiscus-traffic/src/budgets/handle.rs
@@ -191,7 +191,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the tokens were not drawn, or when no line allows them.
+    /// Fails if the tokens were not drawn, or if no spending limit allows them.
     pub fn reserve(
         &self,
         budget: &BudgetName,
--- a/crates/hibiscus-traffic/src/budgets/recovery.rs
+++ b/crates/hibiscus-traffic/src/budgets/recovery.rs
@@ -98,9 +98,9 @@
         self.close_accounts("clock", machine, present, |held| held.spent_by_clock(began))
     }
 
-    /// Closes the accounts that [`Self::close_machine_accounts`] left open. `ended` is a
-    /// time of day by which the processes had ended, in milliseconds since the
-    /// Unix epoch, if several machines agree on one.
+    /// Closes the accounts that [`Self::close_machine_accounts`] left open.
+    /// `ended` is a time of day by which the processes had ended, in
+    /// milliseconds since the Unix epoch, if several machines agree on one.
     pub fn close_machine_accounts_by_agreement(
         &mut self,
         machine: &InstanceName,
--- a/crates/hibiscus-traffic/src/budgets/review.rs
+++ b/crates/hibiscus-traffic/src/budgets/review.rs
@@ -120,9 +120,9 @@
         let Some(total) = self.totals.get_mut(budget) else {
             return;
         };
-        let known = self.fold.budget(budget);
-        let is_new = known
-            .is_none_or(|known| known.version < total.version && known.prepaid != total.tokens);
+        let account = self.fold.budget(budget);
+        let is_new =
+            account.is_none_or(|read| read.version < total.version && read.prepaid != total.tokens);
         let seen = *total.seen.get_or_insert(now);
         let is_due =
             is_first_holder || is_waited_for || now.saturating_sub(seen) >= TOTAL_WRITE_DELAY;
--- a/crates/hibiscus-traffic/src/budgets/tokens.rs
+++ b/crates/hibiscus-traffic/src/budgets/tokens.rs
@@ -133,9 +133,9 @@
     /// Returned tokens that do not count as free yet in the part of the stream
     /// that was read.
     fn unread_returns(&self, account: &BudgetAccount, held: &HeldBudget) -> TokenCount {
-        let known = account.holders.get(&self.holder);
-        let known = known.map_or(TokenCount::ZERO, |known| known.returned);
-        held.quota.returned().saturating_sub(known)
+        let own = account.holders.get(&self.holder);
+        let read = own.map_or(TokenCount::ZERO, |own| own.returned);
+        held.quota.returned().saturating_sub(read)
     }
 
     /// Adds tokens that another instance transferred to this one.
--- a/crates/hibiscus-traffic/src/holders.rs
+++ b/crates/hibiscus-traffic/src/holders.rs
@@ -129,7 +129,7 @@
             self.groups = groups;
         }
         let group = group_of(budget, groups);
-        let known = self.by_group.entry(group).or_insert_with(|| {
+        let cached = self.by_group.entry(group).or_insert_with(|| {
             let own = directory.own();
             let mut holders = holders_of(group, groups, directory.answering());
             let count = u32::try_from(holders.len()).unwrap_or(u32::MAX);
@@ -142,7 +142,7 @@
                 others: holders.iter().map(|holder| holder.peers).collect(),
             })
         });
-        Rc::clone(known)
+        Rc::clone(cached)
     }
 }
 
--- a/crates/hibiscus-traffic/src/shares.rs
+++ b/crates/hibiscus-traffic/src/shares.rs
@@ -51,9 +51,9 @@
     /// Computes the limits on a machine that gives a process `memory` bytes and
     /// `descriptors` file descriptors.
     pub fn of_machine(memory: usize, descriptors: usize) -> Self {
-        let left = memory - program_bytes(memory);
+        let available = memory - program_bytes(memory);
         let bounded = |ratio: f64, each: usize, descriptor_ratio: f64| {
-            let by_memory = left as f64 * ratio / each as f64;
+            let by_memory = available as f64 * ratio / each as f64;
             let by_descriptors = descriptors as f64 * descriptor_ratio;
             (by_memory.min(by_descriptors) as usize).max(1)
         };
@@ -64,11 +64,11 @@
                     CALLER_CONNECTION_BYTES + SERVER_CONNECTION_BYTES,
                     CALLER_DESCRIPTOR_RATIO,
                 ),
-                body_bytes: (left as f64 * BODIES_RATIO) as usize,
+                body_bytes: (available as f64 * BODIES_RATIO) as usize,
             },
             idle_links: bounded(IDLE_RATIO, SERVER_CONNECTION_BYTES, IDLE_DESCRIPTOR_RATIO),
             memory,
-            reserve: (left as f64 * RESERVE_RATIO) as usize,
+            reserve: (available as f64 * RESERVE_RATIO) as usize,
         }
     }
 
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -261,9 +261,9 @@
     }
 }
 
-/// Requests tokens from one holder and sends the outcome to `response_sender`; the
-/// tokens can be reserved by then. The call continues if the request ends, so
-/// that its tokens are not lost.
+/// Requests tokens from one holder and sends the outcome to `response_sender`;
+/// the tokens can be reserved by then. The call continues if the request ends,
+/// so that its tokens are not lost.
 fn request_tokens<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
     holder: SocketAddr,
--- a/crates/hibiscus-traffic/tests/power_cut.rs
+++ b/crates/hibiscus-traffic/tests/power_cut.rs
@@ -412,9 +412,9 @@
                     .close_unproven(agreement::agreed_upper_bound(&readings));
             }
             let is_ready = holder.recovers_at.is_none();
-            if let Some((batch, answers)) = holder.appending.take() {
-                if answers > self.now {
-                    holder.appending = Some((batch, answers));
+            if let Some((batch, done_at)) = holder.appending.take() {
+                if done_at > self.now {
+                    holder.appending = Some((batch, done_at));
                 } else {
                     landed.push((number, batch));
                 }
