--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -25,9 +25,9 @@
 use hibiscus_types::UnixMillis;
 
 use crate::budgets::RecoveryPhase;
-use crate::dialect::RequestDialect;
 use crate::peers;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Largest number of instances whose time is requested, so that of five
 /// readings three may be wrong. Each new connection costs 7 ms of a core.
@@ -45,7 +45,7 @@
 
 /// Waits until the account stream was read, then closes by agreement the
 /// accounts that the clock could not close.
-pub async fn close_unproven<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn close_unproven<D: WireFormat>(state: Rc<TrafficState<D>>) {
     while state.budgets.recovery() == RecoveryPhase::Reading {
         tokio::time::sleep(ROUND_INTERVAL).await;
     }
@@ -64,7 +64,7 @@
 
 /// Closes the accounts of ended processes on other machines. Runs as long as
 /// the runtime.
-pub async fn close_ended_processes<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn close_ended_processes<D: WireFormat>(state: Rc<TrafficState<D>>) {
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
         tokio::time::sleep(ENDED_PROCESSES_CHECK_INTERVAL).await;
@@ -90,10 +90,7 @@
 }
 
 /// Closes the accounts of ended processes on `machine`.
-async fn close_machine_accounts<D: RequestDialect>(
-    state: &TrafficState<D>,
-    machine: &InstanceName,
-) {
+async fn close_machine_accounts<D: WireFormat>(state: &TrafficState<D>, machine: &InstanceName) {
     let link = state.link.borrow().clone();
     let peer = state
         .directory
@@ -133,7 +130,7 @@
 /// machine, from the clocks of this and other machines. Each reading is later
 /// than the end of the previous process, because it is made after its request
 /// was sent.
-async fn gather_readings<D: RequestDialect>(state: &TrafficState<D>, began: Duration) -> Vec<u64> {
+async fn gather_readings<D: WireFormat>(state: &TrafficState<D>, began: Duration) -> Vec<u64> {
     let gathering_since = state.now();
     let own = at_start(
         UnixMillis::now().get(),
@@ -154,7 +151,7 @@
 }
 
 /// Requests the time from instances that have not responded yet.
-async fn request_readings<D: RequestDialect>(
+async fn request_readings<D: WireFormat>(
     state: &TrafficState<D>,
     began: Duration,
     responses: &mut BTreeMap<SocketAddr, u64>,
@@ -165,7 +162,7 @@
     // Connections to the other holders are open already; a new one costs a
     // handshake.
     let mut holders = state.fellow_holders();
-    let mut others = state.directory.borrow().peers();
+    let mut others = state.directory.borrow().peer_addresses();
     others.retain(|other| !holders.contains(other));
     fastrand::shuffle(&mut others);
     holders.append(&mut others);
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -21,13 +21,13 @@
 use tokio::task::JoinSet;
 
 use crate::budgets::TokenRefusal;
-use crate::dialect::RequestDialect;
 use crate::peers;
 use crate::peers::PeerAnswer;
 use crate::peers::PeerQuestion;
 use crate::state::TrafficState;
 use crate::tally::PeerRequestKind;
 use crate::tally::PeerRequestOutcome;
+use crate::wire_format::WireFormat;
 
 /// Longest wait for a draw: a draw takes two store calls, each of which takes
 /// up to 0.25 s while the store is slow.
@@ -61,7 +61,7 @@
 ///
 /// Fails if the budget does not cover the tokens, or if no reachable instance
 /// has them.
-pub async fn reserve<D: RequestDialect>(
+pub async fn reserve<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -87,7 +87,7 @@
 ///
 /// Fails if the budget does not cover the tokens, or if this instance cannot
 /// reserve them.
-pub async fn transfer<D: RequestDialect>(
+pub async fn transfer<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -110,7 +110,7 @@
 
 /// Returns received tokens that no request used for a while: to a holder, or to
 /// this instance's own account if it is a holder itself.
-pub fn return_idle<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
+pub fn return_idle<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     for (budget, tokens) in state
         .budgets
         .take_idle_received(RECEIVED_TOKENS_RETURN_DELAY)
@@ -125,7 +125,7 @@
 
 /// Sends all received tokens to other holders at the end of a graceful
 /// shutdown, and waits for their responses as long as the shutdown allows.
-pub async fn return_all<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
+pub async fn return_all<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     let mut returns = JoinSet::new();
     for (budget, tokens) in state.budgets.take_idle_received(Duration::ZERO) {
         returns.spawn_local(send_back(Rc::clone(state), budget, tokens));
@@ -137,7 +137,7 @@
 /// Sends `tokens` back to a single holder and does not retry: if only the
 /// response was lost, a retry would count the tokens twice. A holder that
 /// refuses has not taken them.
-async fn send_back<D: RequestDialect>(
+async fn send_back<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     budget: BudgetName,
     tokens: TokenCount,
@@ -164,7 +164,7 @@
 
 /// Reserves tokens of this instance, and waits for a draw or a report that
 /// makes them available.
-async fn reserve_drawn<D: RequestDialect>(
+async fn reserve_drawn<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -202,7 +202,7 @@
 
 /// Reserves tokens that holders transfer. Requests them from one holder after
 /// another, and continues with the next one if a response is late.
-async fn reserve_received<D: RequestDialect>(
+async fn reserve_received<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
@@ -264,7 +264,7 @@
 /// Requests tokens from one holder and sends the outcome to `response_sender`;
 /// the tokens can be reserved by then. The call continues if the request ends,
 /// so that its tokens are not lost.
-fn request_tokens<D: RequestDialect>(
+fn request_tokens<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     holder: SocketAddr,
     budget: &BudgetName,
--- a/crates/hibiscus-traffic/src/usage_log.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -13,11 +13,11 @@
 
 use crate::machine::LevelWatch;
 use crate::machine::MachineLimits;
-use crate::measures::TrafficLevels;
 use crate::tally::DrawOutcome;
 use crate::tally::PeerRequestKind;
 use crate::tally::PeerRequestOutcome;
 use crate::tally::WorkTally;
+use crate::traffic_metrics::TrafficGauges;
 
 /// Ratio of the memory at which use is logged as near the limit.
 const MEMORY_HIGH: f64 = 0.75;
@@ -63,7 +63,7 @@
     }
 
     /// Records the present levels. Returns whether they were logged.
-    pub fn note_levels(&self, levels: &TrafficLevels, tally: &WorkTally) -> bool {
+    pub fn note_levels(&self, levels: &TrafficGauges, tally: &WorkTally) -> bool {
         let memory = self.limits.memory_bytes.max(1) as f64;
         let ratio = levels.used.resident_bytes as f64 / memory;
         if self.memory.borrow_mut().rises(ratio) {
@@ -89,7 +89,7 @@
         is_due
     }
 
-    fn log_levels(&self, levels: &TrafficLevels, tally: &WorkTally) {
+    fn log_levels(&self, levels: &TrafficGauges, tally: &WorkTally) {
         let readiness = |outcome| tally.peer_requests(PeerRequestKind::Readiness, outcome);
         let link = |outcome| tally.peer_requests(PeerRequestKind::Link, outcome);
         event!(
