--- a/crates/hibiscus-traffic/src/in_flight.rs
+++ b/crates/hibiscus-traffic/src/in_flight.rs
@@ -268,7 +268,7 @@
                 EventCode::RequestCut,
                 "request={} reason={} answer=begun",
                 self.id,
-                reason.word()
+                reason.label()
             );
         }
         event!(
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -1,14 +1,15 @@
-//! Closes what processes that ended left.
+//! Closes the accounts of ended processes.
 //!
-//! A holder closes the accounts of the processes before it. After a loss of
-//! power the machine's steady clock began anew and proves nothing; then others
-//! are asked for their time of day. How these times make a proof, see
-//! [`hibiscus_ledger::account::agreement`].
+//! A holder closes the accounts of its machine's earlier processes. After a
+//! power loss the machine's monotonic clock has restarted and proves nothing;
+//! the holder then requests the time of day from other instances. See
+//! [`hibiscus_ledger::account::agreement`] for how these times form a proof.
 //!
-//! An instance that holds no budget any more does not follow the account
-//! stream. The first holder closes what was left on its machine: it asks the
-//! process that answers there now who it is. That process has the machine's
-//! ports, so every other one of which the stream tells had ended when it began.
+//! An instance that no longer holds a budget does not read the account stream.
+//! The first holder closes the accounts left on that machine: it asks the
+//! machine's present process for its incarnation. Since that process has the
+//! machine's ports, all other processes with accounts there had ended when it
+//! began.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,25 +29,25 @@
 use crate::state::TrafficState;
 use crate::wire_format::WireFormat;
 
-/// Instances asked, so that of five readings three may be wrong; each new
-/// connection costs 7 ms of a core.
-const ASKED_LIMIT: usize = 4;
-/// Time between two looks for accounts of processes that ended elsewhere.
-const STRANGERS_PAUSE: Duration = Duration::from_millis(300);
-/// Time between two rounds of questions: after a power cut of all machines the
+/// Largest number of instances whose time is requested, so that of five
+/// readings three may be wrong. Each new connection costs 7 ms of a core.
+const PEER_LIMIT: usize = 4;
+/// Time between two checks for accounts of ended processes on other machines.
+const ENDED_PROCESSES_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Time between two rounds of requests. After a power cut of all machines, the
 /// others announce themselves within half a second.
-const ROUND_PAUSE: Duration = Duration::from_millis(150);
-/// Time for which more answers than the fewest are waited for.
-const GATHER_TIME: Duration = Duration::from_millis(600);
-/// Time after which too few answers are given up: machines that are not back
-/// by then may never be.
-const GIVE_UP_TIME: Duration = Duration::from_secs(6);
+const ROUND_INTERVAL: Duration = Duration::from_millis(150);
+/// Time to wait for more readings once there are the fewest that suffice.
+const EXTRA_READINGS_TIME: Duration = Duration::from_millis(600);
+/// Time after which gathering stops with too few readings: machines that are
+/// not back by then may never return.
+const GATHER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// OnDemand until the account stream was read, and closes by agreement what was
-/// left without a proof.
+/// Waits until the account stream was read, then closes by agreement the
+/// accounts that the clock could not close.
 pub async fn close_unproven<D: WireFormat>(state: Rc<TrafficState<D>>) {
     while state.budgets.recovery() == RecoveryPhase::Reading {
-        tokio::time::sleep(ROUND_PAUSE).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
     if state.budgets.recovery() == RecoveryPhase::Complete {
         return;
@@ -61,12 +62,12 @@
     state.review_budgets();
 }
 
-/// Closes the accounts of processes that ended on other machines for as long as
-/// the runtime runs.
+/// Closes the accounts of ended processes on other machines. Runs as long as
+/// the runtime.
 pub async fn close_ended_processes<D: WireFormat>(state: Rc<TrafficState<D>>) {
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
-        tokio::time::sleep(STRANGERS_PAUSE).await;
+        tokio::time::sleep(ENDED_PROCESSES_CHECK_INTERVAL).await;
         if state.budgets.recovery() == RecoveryPhase::Reading || !state.closes_accounts() {
             continue;
         }
@@ -81,15 +82,15 @@
             }
             let (state, running) = (Rc::clone(&state), Rc::clone(&running));
             tokio::task::spawn_local(async move {
-                close_machine(&state, &machine).await;
+                close_machine_accounts(&state, &machine).await;
                 running.borrow_mut().remove(&machine);
             });
         }
     }
 }
 
-/// Closes what processes that ended on `machine` left.
-async fn close_machine<D: WireFormat>(state: &TrafficState<D>, machine: &InstanceName) {
+/// Closes the accounts of ended processes on `machine`.
+async fn close_machine_accounts<D: WireFormat>(state: &TrafficState<D>, machine: &InstanceName) {
     let link = state.link.borrow().clone();
     let peer = state
         .directory
@@ -106,11 +107,11 @@
     let began = state
         .now()
         .saturating_sub(Duration::from_millis(process.age_ms));
-    let left = state
+    let open_accounts = state
         .budgets
-        .close_machine(machine, present, process.started_at);
+        .close_machine_accounts(machine, present, process.started_at);
     state.review_budgets();
-    if left == 0 {
+    if open_accounts == 0 {
         return;
     }
     let readings = gather_readings(state, began).await;
@@ -121,57 +122,62 @@
     );
     state
         .budgets
-        .close_machine_by_agreement(machine, present, ended);
+        .close_machine_accounts_by_agreement(machine, present, ended);
     state.review_budgets();
 }
 
-/// Times of day at `began`, when a process had the ports of its machine, by the
-/// clocks of this machine and of others. Each is later than the process before
-/// ended: an answer is made after it was asked for.
+/// Gathers times of day for `began`, when a process got the ports of its
+/// machine, from the clocks of this and other machines. Each reading is later
+/// than the end of the previous process, because it is made after its request
+/// was sent.
 async fn gather_readings<D: WireFormat>(state: &TrafficState<D>, began: Duration) -> Vec<u64> {
-    let begun = state.now();
-    let own = at_start(UnixMillis::now().get(), begun.saturating_sub(began));
-    let mut answers: BTreeMap<SocketAddr, u64> = BTreeMap::new();
+    let gathering_since = state.now();
+    let own = at_start(
+        UnixMillis::now().get(),
+        gathering_since.saturating_sub(began),
+    );
+    let mut responses: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     loop {
-        ask_others(state, began, &mut answers).await;
-        let waited = state.now().saturating_sub(begun);
-        let enough = answers.len() + 1 >= agreement::MIN_READINGS;
-        let all = answers.len() >= ASKED_LIMIT;
-        if all || (enough && waited >= GATHER_TIME) || waited >= GIVE_UP_TIME {
+        request_readings(state, began, &mut responses).await;
+        let waited = state.now().saturating_sub(gathering_since);
+        let enough = responses.len() + 1 >= agreement::MIN_READINGS;
+        let all = responses.len() >= PEER_LIMIT;
+        if all || (enough && waited >= EXTRA_READINGS_TIME) || waited >= GATHER_TIMEOUT {
             break;
         }
-        tokio::time::sleep(ROUND_PAUSE).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
     }
-    answers.into_values().chain([own]).collect()
+    responses.into_values().chain([own]).collect()
 }
 
-/// Asks the instances that have not answered yet.
-async fn ask_others<D: WireFormat>(
+/// Requests the time from instances that have not responded yet.
+async fn request_readings<D: WireFormat>(
     state: &TrafficState<D>,
     began: Duration,
-    answers: &mut BTreeMap<SocketAddr, u64>,
+    responses: &mut BTreeMap<SocketAddr, u64>,
 ) {
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
-    // There are links to the other holders; a new one costs a handshake.
+    // Connections to the other holders are open already; a new one costs a
+    // handshake.
     let mut holders = state.co_holders();
     let mut others = state.directory.borrow().peer_addresses();
     others.retain(|other| !holders.contains(other));
     fastrand::shuffle(&mut others);
     holders.append(&mut others);
-    holders.retain(|other| !answers.contains_key(other));
-    holders.truncate(ASKED_LIMIT.saturating_sub(answers.len()));
+    holders.retain(|other| !responses.contains_key(other));
+    holders.truncate(PEER_LIMIT.saturating_sub(responses.len()));
     for other in holders {
-        let asked = state.now().saturating_sub(began);
+        let since = state.now().saturating_sub(began);
         if let Some(reading) = peers::request_time_of_day(&link, other).await {
-            answers.insert(other, at_start(reading, asked));
+            responses.insert(other, at_start(reading, since));
         }
     }
 }
 
-/// The time of day at the start, by a reading made no sooner than `since`
-/// after it.
+/// Converts a reading made at least `since` after the start to a time of day at
+/// the start.
 fn at_start(reading: u64, since: Duration) -> u64 {
     let since = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
     reading.saturating_sub(since)
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -470,7 +470,7 @@
             account_lag: self.budgets.unread_records(),
         };
         levels.publish();
-        self.tally.show();
+        self.tally.publish();
         if self.pressure.note_levels(&levels, &self.tally) {
             self.budgets
                 .log_budgets(|budget| self.group_holders(&directory, budget).own_rank == Some(0));
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -1,11 +1,11 @@
-//! Where the tokens of a request come from.
+//! Reserves the tokens of requests.
 //!
-//! A holder of the budget draws from the store what it lacks. An instance that
-//! does not hold the budget asks a holder for each request, and so does a holder
-//! that cannot draw: the holder counts the tokens as
-//! spent before it answers, so a lost answer loses tokens and spends none
-//! twice. What requests leave is used for the next ones, and goes back to a
-//! holder after a rest.
+//! A holder of a budget draws missing tokens from the store. An instance that
+//! does not hold the budget requests the tokens of each request from a holder,
+//! and so does a holder that cannot draw. The responding holder counts the
+//! tokens as spent before it responds, so a lost response loses tokens but
+//! never lets them be spent twice. Tokens that a request leaves unused serve
+//! the next requests, and go back to a holder after a delay.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,85 +29,92 @@
 use crate::tally::PeerRequestOutcome;
 use crate::wire_format::WireFormat;
 
-/// Longest wait for tokens of a budget: a draw takes two store calls, each of
-/// which takes up to 0.25 s while the store is slow.
-const DRAW_WAIT: Duration = Duration::from_millis(600);
-/// Time that a request waits for the holders that it asks.
-const HOLDERS_WAIT: Duration = Duration::from_millis(900);
-/// Time after which the next holder is asked too: an answer takes a few
-/// milliseconds, and a draw some twenty.
-const NEXT_HOLDER_TIME: Duration = Duration::from_millis(120);
-/// Time for a holder's answer. One that comes after the request stopped to wait
-/// still brings its tokens, for the next request.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_500);
-/// Holders asked for one request: one without the store says at once that it
-/// has too little, and a third of them may be without it.
-const ASKED_HOLDERS: usize = 4;
-/// Time after which tokens that no request used go back to a holder.
-const GIVEN_REST: Duration = Duration::from_millis(400);
+/// Longest wait for a draw: a draw takes two store calls, each of which takes
+/// up to 0.25 s while the store is slow.
+const DRAW_TIMEOUT: Duration = Duration::from_millis(600);
+/// Longest wait of a request for the responses of holders.
+const HOLDERS_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time after which the next holder is requested too: a response takes a few
+/// milliseconds, or about twenty if the holder draws.
+const NEXT_HOLDER_DELAY: Duration = Duration::from_millis(120);
+/// Timeout for a holder's response. A response that arrives after its request
+/// gave up still brings tokens for the next request.
+const HOLDER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Largest number of holders requested for one request. A holder that cannot
+/// reach the store refuses at once if it has too few tokens, and a third of the
+/// holders may be in that state.
+const HOLDER_REQUEST_LIMIT: usize = 4;
+/// Time after which received tokens that no request used go back to a holder.
+const RECEIVED_TOKENS_RETURN_DELAY: Duration = Duration::from_millis(400);
 
-/// Time that a planned stop waits for tokens to be brought back: what was drawn
-/// must go back after it.
-const STOP_WAIT: Duration = Duration::from_millis(500);
+/// Time that a graceful shutdown waits for received tokens to be sent back;
+/// drawn tokens are returned to the store after that.
+const SHUTDOWN_RETURN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Result of getting tokens.
+/// Result of reserving tokens.
 pub type Result<T> = std::result::Result<T, TokenRefusal>;
 
-/// Reserves `tokens` of `budget` for a request that waits until `until` at the
-/// most.
+/// Reserves `tokens` of `budget` for a request that waits until `deadline` at
+/// the latest.
 ///
 /// # Errors
 ///
-/// Fails when the budget does not cover them, or when nobody in reach has them.
+/// Fails if the budget does not cover the tokens, or if no reachable instance
+/// has them.
 pub async fn reserve<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<QuotaReservation> {
     if state.requests_from_holders(budget) {
-        return reserve_given(state, budget, tokens, until).await;
+        return reserve_received(state, budget, tokens, deadline).await;
     }
-    let drawn = reserve_drawn(state, budget, tokens, until).await;
+    let drawn = reserve_drawn(state, budget, tokens, deadline).await;
     let refusal = match drawn {
-        Ok(hold) => return Ok(hold),
+        Ok(reservation) => return Ok(reservation),
         Err(TokenRefusal::Spent) => return Err(TokenRefusal::Spent),
         Err(refusal) => refusal,
     };
-    // Another holder may reach the store.
-    let given = reserve_given(state, budget, tokens, until).await;
-    given.map_err(|other| refusal.or_sooner(other))
+    // Another holder may be able to reach the store.
+    let received = reserve_received(state, budget, tokens, deadline).await;
+    received.map_err(|other| refusal.or_sooner(other))
 }
 
-/// Passes `tokens` on to an instance that does not hold `budget`.
+/// Transfers `tokens` to an instance that does not hold `budget`.
 ///
 /// # Errors
 ///
-/// Fails when the budget does not cover them, or when they cannot be had here.
+/// Fails if the budget does not cover the tokens, or if this instance cannot
+/// reserve them.
 pub async fn transfer<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
 ) -> Result<()> {
-    // One that does not follow the stream learns of no draw.
+    // An instance that does not read the stream never gets the result of a
+    // draw.
     if state.budgets.is_closed() || !state.reads_account_stream() {
         return Err(TokenRefusal::Unconfirmed);
     }
-    let until = Instant::now() + DRAW_WAIT;
-    let passed = reserve_drawn(state, budget, tokens, until).await;
-    let refusal = passed.as_ref().err();
+    let deadline = Instant::now() + DRAW_TIMEOUT;
+    let reserved = reserve_drawn(state, budget, tokens, deadline).await;
+    let refusal = reserved.as_ref().err();
     event!(
         EventCode::TokensPassedOn,
         "budget={budget} tokens={tokens} refusal={refusal:?}"
     );
-    state.budgets.transfer(budget, passed?);
+    state.budgets.transfer(budget, reserved?);
     Ok(())
 }
 
-/// Sends tokens that no request used for a while back to a holder; a holder
-/// has them in its account then.
+/// Returns received tokens that no request used for a while: to a holder, or to
+/// this instance's own account if it is a holder itself.
 pub fn return_idle<D: WireFormat>(state: &Rc<TrafficState<D>>) {
-    for (budget, tokens) in state.budgets.take_idle_given(GIVEN_REST) {
+    for (budget, tokens) in state
+        .budgets
+        .take_idle_received(RECEIVED_TOKENS_RETURN_DELAY)
+    {
         if state.requests_from_holders(&budget) {
             tokio::task::spawn_local(send_back(Rc::clone(state), budget, tokens));
         } else {
@@ -116,20 +123,20 @@
     }
 }
 
-/// Sends all that others gave to other holders, at the end of a planned stop,
-/// and waits for their answers as long as the stop allows.
+/// Sends all received tokens to other holders at the end of a graceful
+/// shutdown, and waits for their responses as long as the shutdown allows.
 pub async fn return_all<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     let mut returns = JoinSet::new();
-    for (budget, tokens) in state.budgets.take_idle_given(Duration::ZERO) {
+    for (budget, tokens) in state.budgets.take_idle_received(Duration::ZERO) {
         returns.spawn_local(send_back(Rc::clone(state), budget, tokens));
     }
-    // Tokens whose answers are late may still arrive.
-    let _late = tokio::time::timeout(STOP_WAIT, returns.join_all()).await;
+    // Tokens may still arrive at a holder whose response is late.
+    let _late = tokio::time::timeout(SHUTDOWN_RETURN_TIMEOUT, returns.join_all()).await;
 }
 
-/// Brings `tokens` back to one holder, which is asked once: an answer may be
-/// lost, and the tokens must not count twice. A holder that refuses has not
-/// taken them.
+/// Sends `tokens` back to a single holder and does not retry: if only the
+/// response was lost, a retry would count the tokens twice. A holder that
+/// refuses has not taken them.
 async fn send_back<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     budget: BudgetName,
@@ -138,15 +145,15 @@
     let link = state.link.borrow().clone();
     let holder = state.other_holders(&budget).first().copied();
     let (Some(link), Some(holder)) = (link, holder) else {
-        state.budgets.add_given(&budget, tokens);
+        state.budgets.add_received(&budget, tokens);
         return;
     };
-    let question = PeerRequest::Return {
+    let request = PeerRequest::Return {
         budget: budget.clone(),
         tokens,
     };
-    match peers::ask(&link, holder, &question, ANSWER_LIMIT).await {
-        Some(PeerResponse::Refused(_refusal)) => state.budgets.add_given(&budget, tokens),
+    match peers::ask(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await {
+        Some(PeerResponse::Refused(_refusal)) => state.budgets.add_received(&budget, tokens),
         Some(_returned) => {}
         None => event!(
             EventCode::TokensNotBrought,
@@ -155,93 +162,95 @@
     }
 }
 
-/// OnDemand for a draw or a report that brings the tokens.
+/// Reserves tokens of this instance, and waits for a draw or a report that
+/// makes them available.
 async fn reserve_drawn<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<QuotaReservation> {
-    let until = until.min(Instant::now() + DRAW_WAIT);
-    if let Ok(hold) = state.budgets.reserve(budget, tokens) {
+    let deadline = deadline.min(Instant::now() + DRAW_TIMEOUT);
+    if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
         state.budgets.count_demand(budget, tokens);
-        return Ok(hold);
+        return Ok(reservation);
     }
-    let want = state.budgets.wait_for(budget, tokens);
+    let waiter = state.budgets.wait_for(budget, tokens);
     state.review_waiting();
     loop {
-        let left = until.saturating_duration_since(Instant::now());
+        let remaining = deadline.saturating_duration_since(Instant::now());
         let refusal = state.budgets.refusal(budget, tokens);
         let retry_after = refusal.and_then(TokenRefusal::retry_after);
         let wait = match (refusal, retry_after) {
-            (None, _) => left,
-            // The line of a holder without the store allows it soon.
-            (Some(_later), Some(retry_after)) if retry_after < left => retry_after,
+            (None, _) => remaining,
+            // The limit of a holder without the store allows the tokens soon.
+            (Some(_later), Some(retry_after)) if retry_after < remaining => retry_after,
             (Some(refusal), _) => return Err(refusal),
         };
-        let changed = tokio::time::timeout(wait, want.changed()).await;
+        let changed = tokio::time::timeout(wait, waiter.changed()).await;
         if changed.is_err() && refusal.is_none() {
             return Err(TokenRefusal::Unconfirmed);
         }
-        if let Ok(hold) = state.budgets.reserve(budget, tokens) {
-            // One that is refused comes back, and would count twice.
+        if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
+            // Counted only on success: a refused request is retried and would
+            // count twice.
             state.budgets.count_demand(budget, tokens);
-            return Ok(hold);
+            return Ok(reservation);
         }
     }
 }
 
-/// Reserves from what holders give. One after the other is asked, the next one
-/// also when the one before has not answered for a while.
-async fn reserve_given<D: WireFormat>(
+/// Reserves tokens that holders transfer. Requests them from one holder after
+/// another, and continues with the next one if a response is late.
+async fn reserve_received<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
     tokens: TokenCount,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<QuotaReservation> {
-    let until = until.min(Instant::now() + HOLDERS_WAIT);
+    let deadline = deadline.min(Instant::now() + HOLDERS_TIMEOUT);
     let mut holders = state.other_holders(budget);
     state
         .refusals
         .borrow_mut()
         .choose(budget, &mut holders, state.now());
-    holders.truncate(ASKED_HOLDERS);
-    let (answers, mut answered) = mpsc::unbounded_channel();
-    let mut asked = 0;
-    let mut open = 0;
+    holders.truncate(HOLDER_REQUEST_LIMIT);
+    let (response_sender, mut response_receiver) = mpsc::unbounded_channel();
+    let mut requested = 0;
+    let mut pending = 0;
     let mut refusal = TokenRefusal::Unconfirmed;
     loop {
-        if let Ok(hold) = state.budgets.reserve(budget, tokens) {
-            return Ok(hold);
+        if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
+            return Ok(reservation);
         }
-        if open == 0 || Instant::now() < until {
-            let missing = tokens.saturating_sub(state.budgets.given(budget));
-            if let Some(holder) = holders.get(asked) {
-                ask_holder(state, *holder, budget, missing, answers.clone());
-                asked += 1;
-                open += 1;
+        if pending == 0 || Instant::now() < deadline {
+            let missing = tokens.saturating_sub(state.budgets.received(budget));
+            if let Some(holder) = holders.get(requested) {
+                request_tokens(state, *holder, budget, missing, response_sender.clone());
+                requested += 1;
+                pending += 1;
             }
         }
-        if open == 0 {
+        if pending == 0 {
             return Err(refusal);
         }
-        let next = if asked < holders.len() {
-            until.min(Instant::now() + NEXT_HOLDER_TIME)
+        let next = if requested < holders.len() {
+            deadline.min(Instant::now() + NEXT_HOLDER_DELAY)
         } else {
-            until
+            deadline
         };
-        match tokio::time::timeout_at(next.into(), answered.recv()).await {
+        match tokio::time::timeout_at(next.into(), response_receiver.recv()).await {
             Ok(Some(Err(TokenRefusal::Spent))) => return Err(TokenRefusal::Spent),
-            Ok(Some(answer)) => {
-                refusal = answer
+            Ok(Some(response)) => {
+                refusal = response
                     .err()
                     .map_or(refusal, |other| refusal.or_sooner(other));
-                open -= 1;
+                pending -= 1;
             }
             Ok(None) => return Err(refusal),
-            Err(_late) if Instant::now() >= until => return Err(refusal),
+            Err(_late) if Instant::now() >= deadline => return Err(refusal),
             Err(_late) => {
-                let slow = holders[asked - 1];
+                let slow = holders[requested - 1];
                 let now = state.now();
                 state
                     .refusals
@@ -252,41 +261,45 @@
     }
 }
 
-/// Asks one holder; what it gives can be reserved once `answers` tells so. The
-/// question goes on when the request ends, so that its tokens are not lost.
-fn ask_holder<D: WireFormat>(
+/// Requests tokens from one holder and sends the outcome to `response_sender`;
+/// the tokens can be reserved by then. The call continues if the request ends,
+/// so that its tokens are not lost.
+fn request_tokens<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     holder: SocketAddr,
     budget: &BudgetName,
     tokens: TokenCount,
-    answers: mpsc::UnboundedSender<Result<()>>,
+    response_sender: mpsc::UnboundedSender<Result<()>>,
 ) {
     let link = state.link.borrow().clone();
     let state = Rc::clone(state);
     let budget = budget.clone();
     tokio::task::spawn_local(async move {
-        let question = PeerRequest::Reserve {
+        let request = PeerRequest::Reserve {
             budget: budget.clone(),
             tokens,
         };
-        let answer = match link {
-            Some(link) => peers::ask(&link, holder, &question, ANSWER_LIMIT).await,
+        let response = match link {
+            Some(link) => peers::ask(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await,
             None => None,
         };
         let now = state.now();
-        if answer.is_some() {
+        if response.is_some() {
             state.refusals.borrow_mut().note_response(holder, now);
         }
-        let (outcome, answer) = match answer {
+        let (outcome, response) = match response {
             Some(PeerResponse::Reserved(tokens)) => {
-                state.budgets.add_given(&budget, tokens);
+                state.budgets.add_received(&budget, tokens);
                 (PeerRequestOutcome::Answered, Ok(()))
             }
             Some(PeerResponse::Refused(TokenRefusal::Spent)) => {
                 (PeerRequestOutcome::Refused, Err(TokenRefusal::Spent))
             }
             Some(PeerResponse::Refused(refusal)) => {
-                state.refusals.borrow_mut().note(&budget, holder, now);
+                state
+                    .refusals
+                    .borrow_mut()
+                    .note_refusal(&budget, holder, now);
                 (PeerRequestOutcome::Refused, Err(refusal))
             }
             Some(_other) => (PeerRequestOutcome::Refused, Err(TokenRefusal::Unconfirmed)),
@@ -305,7 +318,7 @@
         state
             .tally
             .count_peer_request(PeerRequestKind::Link, outcome);
-        // A request that ended needs no answer.
-        let _ended = answers.send(answer);
+        // The request may have ended already.
+        let _ended = response_sender.send(response);
     });
 }
