--- a/crates/hibiscus-bench/src/routing_run.rs
+++ b/crates/hibiscus-bench/src/routing_run.rs
@@ -245,7 +245,7 @@
             ModelEvent::ReportArrives { loads, made_ms } => self.note_report(&loads, made_ms),
             ModelEvent::CacheArrives { server, event } => {
                 for router in &mut self.routers {
-                    router.servers[server].prefixes.take(&event);
+                    router.servers[server].prefixes.apply(&event);
                 }
             }
             ModelEvent::Look => self.look(),
@@ -354,7 +354,7 @@
             own: known.load.own(),
             expected: known.load.expected(now, ROUTERS as u32 - 1),
             token_seconds: known.load.token_seconds(),
-            cached: known.prefixes.of(call.request.prefix),
+            cached: known.prefixes.probability(call.request.prefix),
         }
     }
 
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -148,9 +148,9 @@
                 book.advance(offset + 1);
                 continue;
             };
-            if let Some(change) = book.take(offset, decode(record)) {
+            if let Some(change) = book.apply(offset, decode(record)) {
                 if let Some(draft) = &mut self.draft {
-                    draft.note(offset, change.clone(), now);
+                    draft.push(offset, change.clone(), now);
                 }
                 self.tell_change(change);
             }
@@ -177,7 +177,7 @@
         if !draft.is_due(place, now) {
             return Ok(());
         }
-        let news = draft.news(book.position());
+        let news = draft.change_sets(book.position());
         let mut encoded = Vec::with_capacity(news.len());
         for part in &news {
             match codec::encode(part) {
@@ -200,7 +200,7 @@
             self.news_next = self.store.end(SERVER_CHANGES_TOPIC)?;
             self.heard = self.now();
         }
-        if server_changes::is_silent(self.heard, self.now()) {
+        if server_changes::is_stale(self.heard, self.now()) {
             self.read_entries(book, wait)?;
             return self.read_news(book, Duration::ZERO);
         }
--- a/crates/hibiscus-front/src/suspects.rs
+++ b/crates/hibiscus-front/src/suspects.rs
@@ -57,7 +57,7 @@
                 ends.push(evidence);
             }
         }
-        let update = SuspectUpdate::Whole(ends);
+        let update = SuspectUpdate::Snapshot(ends);
         follow::tell(updates, TrafficUpdate::Suspects(update));
     }
 
--- a/crates/hibiscus-membership/src/gossip.rs
+++ b/crates/hibiscus-membership/src/gossip.rs
@@ -8,7 +8,7 @@
 use crate::view::InstanceHeartbeat;
 
 /// News in one message.
-pub const NEWS_LIMIT: usize = 4;
+pub const NOTICE_ITEM_LIMIT: usize = 4;
 /// Messages in which one piece of news is passed on.
 pub const NEWS_REPEATS: u8 = 8;
 /// Heartbeats of others repeated in each message without being news, so that
--- a/crates/hibiscus-membership/src/view.rs
+++ b/crates/hibiscus-membership/src/view.rs
@@ -16,8 +16,8 @@
 
 use crate::gossip::GossipItem;
 use crate::gossip::GossipMessage;
-use crate::gossip::NEWS_LIMIT;
 use crate::gossip::NEWS_REPEATS;
+use crate::gossip::NOTICE_ITEM_LIMIT;
 use crate::gossip::REPAIR_ITEMS;
 use crate::gossip::SILENCE_REPORTS;
 use crate::gossip::SilenceReport;
@@ -306,7 +306,7 @@
 
     /// News and repairs for one message.
     fn next_items(&mut self) -> Vec<GossipItem> {
-        let mut items = Vec::with_capacity(NEWS_LIMIT + REPAIR_ITEMS);
+        let mut items = Vec::with_capacity(NOTICE_ITEM_LIMIT + REPAIR_ITEMS);
         self.take_news(&mut items);
         self.take_repairs(&mut items);
         items
@@ -324,7 +324,7 @@
     }
 
     fn take_news(&mut self, items: &mut Vec<GossipItem>) {
-        for _item in 0..self.news.len().min(NEWS_LIMIT) {
+        for _item in 0..self.news.len().min(NOTICE_ITEM_LIMIT) {
             let Some(mut pending) = self.news.pop_front() else {
                 return;
             };
@@ -359,7 +359,7 @@
     pub fn take_message(&mut self, message: GossipMessage, now: UnixMillis) {
         self.hear(message.beat, now);
         // All heartbeats, for one who joins, are no news to the others.
-        let whole = message.items.len() > NEWS_LIMIT + REPAIR_ITEMS;
+        let whole = message.items.len() > NOTICE_ITEM_LIMIT + REPAIR_ITEMS;
         for item in message.items {
             match item {
                 GossipItem::Beat(beat) if beat.name != self.own => {
--- a/crates/hibiscus-request/src/quarantine.rs
+++ b/crates/hibiscus-request/src/quarantine.rs
@@ -86,18 +86,18 @@
 
 impl SuspectTable {
     /// Takes a death over. A repeat changes nothing.
-    pub fn record(&mut self, death: &ServerCrash) {
+    pub fn record(&mut self, crash: &ServerCrash) {
         let state = self
             .suspects
-            .entry(death.fingerprint)
+            .entry(crash.fingerprint)
             .or_insert_with(|| SuspectState {
                 servers: BTreeSet::new(),
                 alone: false,
-                seen: death.seen,
+                seen: crash.seen,
             });
-        state.servers.insert(death.server.clone());
-        state.alone |= death.alone;
-        state.seen = state.seen.max(death.seen);
+        state.servers.insert(crash.server.clone());
+        state.alone |= crash.alone;
+        state.seen = state.seen.max(crash.seen);
         self.drop_oldest();
     }
 
--- a/crates/hibiscus-request/src/suspects.rs
+++ b/crates/hibiscus-request/src/suspects.rs
@@ -3,7 +3,7 @@
 //! A server that ends takes every request on it along, so one end proves
 //! nothing about one request. What counts are ends one after the other: a
 //! server that ended although its sender knew of earlier ends adds a round
-//! ([`CrashReport::known`]), while all servers that end at the same moment are
+//! ([`CrashReport::known_rounds`]), while all servers that end at the same moment are
 //! one. An answer proves that the request ends no servers, and clears it. So a
 //! request that many callers send is cleared by the first that is answered,
 //! however many servers end with it.
@@ -30,25 +30,25 @@
 use crate::fingerprint::RequestFingerprint;
 
 /// Rounds after which a request is condemned.
-const ROUNDS_TO_CONDEMN: usize = 3;
+const ROUNDS_TO_QUARANTINE: usize = 3;
 /// The same when no server ended without the request meanwhile.
-const ROUNDS_ALONE: usize = 2;
+const ISOLATED_ROUNDS_TO_QUARANTINE: usize = 2;
 /// Time within which the end of a server without the request speaks for it.
-const ALONE_TIME: Duration = Duration::from_secs(10);
+const ISOLATION_WINDOW: Duration = Duration::from_secs(10);
 /// Time for which a request is condemned the first time. Each end after that
 /// doubles it.
-const CONDEMNED_TIME: Duration = Duration::from_secs(3_600);
+const FIRST_QUARANTINE_TIME: Duration = Duration::from_secs(3_600);
 /// Time after its last end at which a request is forgotten, and the longest
 /// for which it is condemned.
-const FORGOTTEN_TIME: Duration = Duration::from_secs(24 * 3_600);
+const CRASH_REPORT_LIFETIME: Duration = Duration::from_secs(24 * 3_600);
 /// Requests kept at most; those with the fewest rounds go first.
 pub const SUSPECT_LIMIT: usize = 4_096;
 /// Ends kept of one request: more prove nothing more.
-const END_LIMIT: usize = 16;
+const REPORTS_PER_REQUEST_LIMIT: usize = 16;
 /// Removed ends that are remembered, so that late copies change nothing.
-const DROPPED_LIMIT: usize = 4_096;
-/// Ends of servers that are remembered for [`ALONE_TIME`].
-const RECENT_LIMIT: usize = 4_096;
+const REMOVED_KEY_LIMIT: usize = 4_096;
+/// Ends of servers that are remembered for [`ISOLATION_WINDOW`].
+const RECENT_CRASH_LIMIT: usize = 4_096;
 
 /// Names one process of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -106,10 +106,10 @@
     /// When the server had begun, in its own time.
     pub started: u64,
     /// Rounds that the sender knew of when it sent the request.
-    pub known: u8,
+    pub known_rounds: u8,
     /// Whether the reporter knew of no server that ended without the request
     /// shortly before.
-    pub alone: bool,
+    pub isolated: bool,
     /// The instance that sent the request and saw the server end.
     pub reporter: InstanceName,
     /// When it saw that.
@@ -139,7 +139,7 @@
     /// The end that it is about.
     pub fn key(&self) -> CrashKey {
         match self {
-            Self::Crashed(evidence) => evidence.key(),
+            Self::Crashed(report) => report.key(),
             Self::Removed(key) => *key,
         }
     }
@@ -155,55 +155,55 @@
     /// The newest of the ends.
     pub newest: CrashReport,
     /// When it may be sent again; `None` when it may now.
-    pub released: Option<UnixMillis>,
+    pub quarantined_until: Option<UnixMillis>,
 }
 
 /// The ends of one request.
 #[derive(Clone, Debug, Default)]
 struct SuspectState {
-    ends: BTreeMap<ServerProcess, HeldEnd>,
+    crashes: BTreeMap<ServerProcess, HeldReport>,
 }
 
 /// An end and how far it has come.
 #[derive(Clone, Debug)]
-struct HeldEnd {
-    evidence: CrashReport,
+struct HeldReport {
+    report: CrashReport,
     /// Whether the fleet's topic held it.
     stored: bool,
     /// When it came here, on the steady clock.
-    heard: Duration,
+    received_at: Duration,
 }
 
 impl SuspectState {
     fn rounds(&self) -> usize {
-        if self.ends.len() <= 1 {
-            return self.ends.len();
+        if self.crashes.len() <= 1 {
+            return self.crashes.len();
         }
-        let known = self.ends.values().map(|held| held.evidence.known);
-        known.collect::<BTreeSet<_>>().len()
+        let known_rounds = self.crashes.values().map(|held| held.report.known_rounds);
+        known_rounds.collect::<BTreeSet<_>>().len()
     }
 
     fn newest(&self) -> Option<&CrashReport> {
-        let ends = self.ends.values().map(|held| &held.evidence);
-        ends.max_by_key(|evidence| evidence.seen)
+        let crashes = self.crashes.values().map(|held| &held.report);
+        crashes.max_by_key(|report| report.seen)
     }
 
     /// Rounds after which the request is condemned.
-    fn needed(&self) -> usize {
-        let mut ends = self.ends.values().map(|held| &held.evidence);
-        if ends.any(|evidence| evidence.alone && evidence.known > 0) {
-            ROUNDS_ALONE
+    fn rounds_to_quarantine(&self) -> usize {
+        let mut crashes = self.crashes.values().map(|held| &held.report);
+        if crashes.any(|report| report.isolated && report.known_rounds > 0) {
+            ISOLATED_ROUNDS_TO_QUARANTINE
         } else {
-            ROUNDS_TO_CONDEMN
+            ROUNDS_TO_QUARANTINE
         }
     }
 
     /// Until when the request is condemned.
-    fn condemned_until(&self) -> Option<UnixMillis> {
-        let beyond = self.rounds().checked_sub(self.needed())?;
-        let doublings = u32::try_from(beyond.min(END_LIMIT)).unwrap_or_default();
-        let span = CONDEMNED_TIME * 2_u32.pow(doublings);
-        Some(self.newest()?.seen.after(span.min(FORGOTTEN_TIME)))
+    fn quarantined_until(&self) -> Option<UnixMillis> {
+        let beyond = self.rounds().checked_sub(self.rounds_to_quarantine())?;
+        let doublings = u32::try_from(beyond.min(REPORTS_PER_REQUEST_LIMIT)).unwrap_or_default();
+        let span = FIRST_QUARANTINE_TIME * 2_u32.pow(doublings);
+        Some(self.newest()?.seen.after(span.min(CRASH_REPORT_LIFETIME)))
     }
 }
 
@@ -213,13 +213,13 @@
     suspects: BTreeMap<RequestFingerprint, SuspectState>,
     /// Requests of each sketch.
     sketches: HashMap<CoarseFingerprint, usize>,
-    dropped: BTreeSet<CrashKey>,
+    removed: BTreeSet<CrashKey>,
     /// The dropped ends, oldest first.
-    dropped_order: VecDeque<CrashKey>,
+    removed_order: VecDeque<CrashKey>,
     /// Servers that ended, and when.
     recent: HashMap<ServerProcess, Duration>,
     /// Ends that had no room any more.
-    surplus: Vec<CrashKey>,
+    evicted: Vec<CrashKey>,
 }
 
 impl CrashTable {
@@ -234,20 +234,24 @@
     }
 
     /// Whether a request with `coarse` may be among them.
-    pub fn may_hold(&self, coarse: CoarseFingerprint) -> bool {
+    pub fn may_contain(&self, coarse: CoarseFingerprint) -> bool {
         self.sketches.contains_key(&coarse)
     }
 
     /// What is known against the request at the time `now`.
-    pub fn case(&self, fingerprint: &RequestFingerprint, now: UnixMillis) -> Option<CrashSummary> {
+    pub fn summary(
+        &self,
+        fingerprint: &RequestFingerprint,
+        now: UnixMillis,
+    ) -> Option<CrashSummary> {
         let state = self.suspects.get(fingerprint)?;
         let newest = state.newest()?;
-        let until = state.condemned_until();
+        let until = state.quarantined_until();
         Some(CrashSummary {
-            servers: state.ends.len(),
+            servers: state.crashes.len(),
             rounds: u8::try_from(state.rounds()).unwrap_or(u8::MAX),
             newest: newest.clone(),
-            released: until.filter(|until| now < *until),
+            quarantined_until: until.filter(|until| now < *until),
         })
     }
 
@@ -256,11 +260,11 @@
         if self.recent.contains_key(&process) {
             return false;
         }
-        if self.recent.len() >= RECENT_LIMIT {
+        if self.recent.len() >= RECENT_CRASH_LIMIT {
             let recent = &mut self.recent;
-            recent.retain(|_process, at| now.saturating_sub(*at) <= ALONE_TIME);
+            recent.retain(|_process, at| now.saturating_sub(*at) <= ISOLATION_WINDOW);
         }
-        if self.recent.len() < RECENT_LIMIT {
+        if self.recent.len() < RECENT_CRASH_LIMIT {
             self.recent.insert(process, now);
         }
         true
@@ -268,7 +272,7 @@
 
     /// Whether no server ended without the request shortly before `now`, other
     /// than `process`.
-    pub fn is_alone(
+    pub fn is_isolated(
         &self,
         fingerprint: &RequestFingerprint,
         process: ServerProcess,
@@ -276,33 +280,35 @@
     ) -> bool {
         let state = self.suspects.get(fingerprint);
         self.recent.iter().all(|(ended, at)| {
-            let old = now.saturating_sub(*at) > ALONE_TIME;
-            let own = state.is_some_and(|state| state.ends.contains_key(ended));
+            let old = now.saturating_sub(*at) > ISOLATION_WINDOW;
+            let own = state.is_some_and(|state| state.crashes.contains_key(ended));
             old || own || *ended == process
         })
     }
 
     /// Takes evidence over that came at `now`; false when it says nothing new.
-    pub fn take(&mut self, evidence: CrashReport, now: Duration) -> bool {
-        let key = evidence.key();
-        if self.dropped.contains(&key) {
+    pub fn merge(&mut self, report: CrashReport, now: Duration) -> bool {
+        let key = report.key();
+        if self.removed.contains(&key) {
             return false;
         }
         self.note_crash(key.process, now);
         let is_new = !self.suspects.contains_key(&key.fingerprint);
         let state = self.suspects.entry(key.fingerprint).or_default();
-        if state.ends.contains_key(&key.process) || state.ends.len() >= END_LIMIT {
+        if state.crashes.contains_key(&key.process)
+            || state.crashes.len() >= REPORTS_PER_REQUEST_LIMIT
+        {
             return false;
         }
-        let held = HeldEnd {
-            evidence,
+        let held = HeldReport {
+            report,
             stored: false,
-            heard: now,
+            received_at: now,
         };
-        state.ends.insert(key.process, held);
+        state.crashes.insert(key.process, held);
         if is_new {
             *self.sketches.entry(key.fingerprint.coarse()).or_default() += 1;
-            self.make_room(&key.fingerprint);
+            self.evict_weakest(&key.fingerprint);
         }
         true
     }
@@ -310,34 +316,34 @@
     /// The fleet's topic holds the end.
     pub fn note_stored(&mut self, key: &CrashKey) {
         let state = self.suspects.get_mut(&key.fingerprint);
-        if let Some(held) = state.and_then(|state| state.ends.get_mut(&key.process)) {
+        if let Some(held) = state.and_then(|state| state.crashes.get_mut(&key.process)) {
             held.stored = true;
         }
     }
 
     /// Whether the end was dropped lately.
-    pub fn was_dropped(&self, key: &CrashKey) -> bool {
-        self.dropped.contains(key)
+    pub fn was_removed(&self, key: &CrashKey) -> bool {
+        self.removed.contains(key)
     }
 
     /// Drops an end for good; false when it was not known.
-    pub fn drop_end(&mut self, key: &CrashKey) -> bool {
-        self.note_dropped(*key);
+    pub fn remove_report(&mut self, key: &CrashKey) -> bool {
+        self.note_removed(*key);
         let Some(state) = self.suspects.get_mut(&key.fingerprint) else {
             return false;
         };
-        let known = state.ends.remove(&key.process).is_some();
-        if state.ends.is_empty() {
+        let known_rounds = state.crashes.remove(&key.process).is_some();
+        if state.crashes.is_empty() {
             self.remove(&key.fingerprint);
         }
-        known
+        known_rounds
     }
 
     /// The request was answered: drops its ends, and returns them.
     pub fn clear(&mut self, fingerprint: &RequestFingerprint) -> Vec<CrashKey> {
         let keys = self.keys_of(fingerprint);
         for key in &keys {
-            self.note_dropped(*key);
+            self.note_removed(*key);
         }
         self.remove(fingerprint);
         keys
@@ -348,12 +354,12 @@
     pub fn expire(&mut self, now: UnixMillis) -> Vec<CrashKey> {
         let mut old = Vec::new();
         for (fingerprint, state) in &self.suspects {
-            let newest = state.newest().map(|evidence| evidence.seen);
-            if newest.is_none_or(|seen| now.since(seen) > FORGOTTEN_TIME) {
+            let newest = state.newest().map(|report| report.seen);
+            if newest.is_none_or(|seen| now.since(seen) > CRASH_REPORT_LIFETIME) {
                 old.push(*fingerprint);
             }
         }
-        let mut gone = std::mem::take(&mut self.surplus);
+        let mut gone = std::mem::take(&mut self.evicted);
         for fingerprint in old {
             gone.extend(self.clear(&fingerprint));
         }
@@ -362,18 +368,18 @@
 
     /// Takes over which ends the fleet's topic holds, after a gap in reading
     /// it: those that it held before and does not now are dropped.
-    pub fn keep_stored(&mut self, listed: &BTreeSet<CrashKey>) {
+    pub fn retain_stored(&mut self, listed: &BTreeSet<CrashKey>) {
         let mut gone = Vec::new();
         for state in self.suspects.values() {
-            for held in state.ends.values() {
-                let key = held.evidence.key();
+            for held in state.crashes.values() {
+                let key = held.report.key();
                 if held.stored && !listed.contains(&key) {
                     gone.push(key);
                 }
             }
         }
         for key in gone {
-            self.drop_end(&key);
+            self.remove_report(&key);
         }
     }
 
@@ -382,9 +388,9 @@
     pub fn not_stored(&self, before: Duration) -> Vec<CrashReport> {
         let mut missing = Vec::new();
         for state in self.suspects.values() {
-            for held in state.ends.values() {
-                if !held.stored && held.heard < before {
-                    missing.push(held.evidence.clone());
+            for held in state.crashes.values() {
+                if !held.stored && held.received_at < before {
+                    missing.push(held.report.clone());
                 }
             }
         }
@@ -393,7 +399,7 @@
 
     fn keys_of(&self, fingerprint: &RequestFingerprint) -> Vec<CrashKey> {
         let state = self.suspects.get(fingerprint);
-        let processes = state.into_iter().flat_map(|state| state.ends.keys());
+        let processes = state.into_iter().flat_map(|state| state.crashes.keys());
         let key = |process: &ServerProcess| CrashKey {
             fingerprint: *fingerprint,
             process: *process,
@@ -401,15 +407,15 @@
         processes.map(key).collect()
     }
 
-    fn note_dropped(&mut self, key: CrashKey) {
-        if !self.dropped.insert(key) {
+    fn note_removed(&mut self, key: CrashKey) {
+        if !self.removed.insert(key) {
             return;
         }
-        self.dropped_order.push_back(key);
-        if self.dropped_order.len() > DROPPED_LIMIT
-            && let Some(oldest) = self.dropped_order.pop_front()
+        self.removed_order.push_back(key);
+        if self.removed_order.len() > REMOVED_KEY_LIMIT
+            && let Some(oldest) = self.removed_order.pop_front()
         {
-            self.dropped.remove(&oldest);
+            self.removed.remove(&oldest);
         }
     }
 
@@ -427,7 +433,7 @@
     }
 
     /// Drops the requests that prove least, but not `newest`.
-    fn make_room(&mut self, newest: &RequestFingerprint) {
+    fn evict_weakest(&mut self, newest: &RequestFingerprint) {
         if self.suspects.len() <= SUSPECT_LIMIT {
             return;
         }
@@ -436,12 +442,12 @@
             .iter()
             .filter(|(fingerprint, _)| *fingerprint != newest);
         let least = others.min_by_key(|(_print, state)| {
-            let seen = state.newest().map(|evidence| evidence.seen);
+            let seen = state.newest().map(|report| report.seen);
             (state.rounds(), seen)
         });
         if let Some(fingerprint) = least.map(|(fingerprint, _state)| *fingerprint) {
             let keys = self.clear(&fingerprint);
-            self.surplus.extend(keys);
+            self.evicted.extend(keys);
         }
     }
 }
--- a/crates/hibiscus-request/src/window.rs
+++ b/crates/hibiscus-request/src/window.rs
@@ -7,7 +7,7 @@
 /// Age up to which the ledger keeps a key.
 pub const KEY_WINDOW: Duration = Duration::from_secs(24 * 3_600);
 /// How far a caller's clock may run ahead.
-const CLOCK_LEEWAY: Duration = Duration::from_secs(3_600);
+const MAX_CLOCK_LEAD: Duration = Duration::from_secs(3_600);
 
 /// Where a key lies in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     if now.since(stamped) > KEY_WINDOW {
         return KeyAge::Expired;
     }
-    if stamped.since(now) > CLOCK_LEEWAY {
+    if stamped.since(now) > MAX_CLOCK_LEAD {
         return KeyAge::InFuture;
     }
     KeyAge::Valid
--- a/crates/hibiscus-routing/src/affinity.rs
+++ b/crates/hibiscus-routing/src/affinity.rs
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 
 /// Belief after the server said that it holds the prefix.
-const BELIEF_SEEN: f64 = 1.0;
+const STORED_PROBABILITY: f64 = 1.0;
 /// Belief after this process sent a request with the prefix there.
-const BELIEF_SENT: f64 = 0.8;
+const SENT_PROBABILITY: f64 = 0.8;
 /// Factor of all beliefs for each lost event.
-const GAP_FACTOR: f64 = 0.9;
+const LOST_EVENT_FACTOR: f64 = 0.9;
 /// Belief below which a prefix is forgotten.
-const BELIEF_LEAST: f64 = 0.1;
+const MIN_PROBABILITY: f64 = 0.1;
 /// Prefixes known of one server at most.
 const PREFIX_LIMIT: usize = 4_096;
 
@@ -40,53 +40,53 @@
 /// Beliefs about one server's cache.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixEstimate {
-    next: u64,
-    beliefs: BTreeMap<u64, f64>,
+    next_sequence: u64,
+    probabilities: BTreeMap<u64, f64>,
 }
 
 impl PrefixEstimate {
     /// Takes an event over. One that was taken before changes nothing.
-    pub fn take(&mut self, event: &CacheEvent) {
-        if event.sequence < self.next {
+    pub fn apply(&mut self, event: &CacheEvent) {
+        if event.sequence < self.next_sequence {
             return;
         }
-        let lost = event.sequence - self.next;
+        let lost = event.sequence - self.next_sequence;
         if lost > 0 {
-            self.shrink(lost);
+            self.decay(lost);
         }
-        self.next = event.sequence + 1;
+        self.next_sequence = event.sequence + 1;
         match event.change {
-            CacheChange::Stored => self.insert(event.prefix, BELIEF_SEEN),
+            CacheChange::Stored => self.insert(event.prefix, STORED_PROBABILITY),
             CacheChange::Evicted => {
-                self.beliefs.remove(&event.prefix);
+                self.probabilities.remove(&event.prefix);
             }
         }
     }
 
     /// This process sent a request with `prefix` there.
     pub fn note_sent(&mut self, prefix: u64) {
-        let belief = self.of(prefix).max(BELIEF_SENT);
-        self.insert(prefix, belief);
+        let probability = self.probability(prefix).max(SENT_PROBABILITY);
+        self.insert(prefix, probability);
     }
 
     /// Belief that the server holds `prefix`, 0 to 1.
-    pub fn of(&self, prefix: u64) -> f64 {
-        self.beliefs.get(&prefix).copied().unwrap_or(0.0)
+    pub fn probability(&self, prefix: u64) -> f64 {
+        self.probabilities.get(&prefix).copied().unwrap_or(0.0)
     }
 
-    fn shrink(&mut self, lost: u64) {
+    fn decay(&mut self, lost: u64) {
         let exponent = i32::try_from(lost).unwrap_or(i32::MAX);
-        let factor = GAP_FACTOR.powi(exponent);
-        self.beliefs.retain(|_prefix, belief| {
-            *belief *= factor;
-            *belief >= BELIEF_LEAST
+        let factor = LOST_EVENT_FACTOR.powi(exponent);
+        self.probabilities.retain(|_prefix, probability| {
+            *probability *= factor;
+            *probability >= MIN_PROBABILITY
         });
     }
 
-    fn insert(&mut self, prefix: u64, belief: f64) {
-        if self.beliefs.len() >= PREFIX_LIMIT && !self.beliefs.contains_key(&prefix) {
-            self.beliefs.pop_first();
+    fn insert(&mut self, prefix: u64, probability: f64) {
+        if self.probabilities.len() >= PREFIX_LIMIT && !self.probabilities.contains_key(&prefix) {
+            self.probabilities.pop_first();
         }
-        self.beliefs.insert(prefix, belief);
+        self.probabilities.insert(prefix, probability);
     }
 }
--- a/crates/hibiscus-routing/src/availability.rs
+++ b/crates/hibiscus-routing/src/availability.rs
@@ -16,15 +16,15 @@
 /// a full one is less work than that.
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(100);
 /// Longest time for which a server that refuses without a time is avoided.
-const LAST_AVOIDANCE: Duration = Duration::from_secs(2);
+const MAX_AVOIDANCE: Duration = Duration::from_secs(2);
 /// Doublings after which that time grows no more.
-const DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// Requests that may try a server at the same time before one was taken.
-const FIRST_TRIALS: u32 = 1;
+const FIRST_TRIAL_LIMIT: u32 = 1;
 /// Trials at the same time from which on the server is used as before.
-const LAST_TRIALS: u32 = 8;
+const MAX_TRIAL_LIMIT: u32 = 8;
 /// Time after which a caller may ask again when all trials are under way.
-const TRIAL_TIME: Duration = Duration::from_millis(100);
+const TRIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Whether a new request may go to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,11 +45,11 @@
     /// `None` when it has no end.
     until: Option<Instant>,
     /// Whether the server named the time.
-    wanted: bool,
+    requested: bool,
     /// Requests that may try the server at the same time afterwards.
-    trials: u32,
+    trial_limit: u32,
     /// Those that do.
-    trying: u32,
+    trials_in_progress: u32,
 }
 
 /// What one process of a server has said of new requests.
@@ -74,13 +74,17 @@
             return ServerEligibility::Paused(None);
         };
         let ended = now >= until;
-        if ended && pause.trying < pause.trials {
+        if ended && pause.trials_in_progress < pause.trial_limit {
             return ServerEligibility::Open;
         }
-        if !pause.wanted {
+        if !pause.requested {
             return ServerEligibility::LastResort;
         }
-        ServerEligibility::Paused(Some(if ended { now + TRIAL_TIME } else { until }))
+        ServerEligibility::Paused(Some(if ended {
+            now + TRIAL_RETRY_DELAY
+        } else {
+            until
+        }))
     }
 
     /// Whether the server leaves.
@@ -91,7 +95,7 @@
     /// Whether the server named a time for which it wants nothing, and none of
     /// the requests after it was taken yet.
     pub fn is_paused(&self) -> bool {
-        self.pause.is_some_and(|pause| pause.wanted)
+        self.pause.is_some_and(|pause| pause.requested)
     }
 
     /// Notes that the server leaves; whether that is new.
@@ -108,7 +112,7 @@
         if pause.until.is_none_or(|until| now < until) {
             return false;
         }
-        pause.trying += 1;
+        pause.trials_in_progress += 1;
         true
     }
 
@@ -118,7 +122,7 @@
         if self.draining {
             return false;
         }
-        let Some(pause) = self.pause.filter(|pause| pause.wanted) else {
+        let Some(pause) = self.pause.filter(|pause| pause.requested) else {
             return true;
         };
         trial && pause.until.is_some_and(|until| now >= until)
@@ -134,9 +138,9 @@
         if !trial {
             return;
         }
-        pause.trying = pause.trying.saturating_sub(1);
-        pause.trials *= 2;
-        if pause.trials > LAST_TRIALS {
+        pause.trials_in_progress = pause.trials_in_progress.saturating_sub(1);
+        pause.trial_limit *= 2;
+        if pause.trial_limit > MAX_TRIAL_LIMIT {
             self.pause = None;
             self.refusals = 0;
         }
@@ -147,26 +151,26 @@
         if let Some(pause) = &mut self.pause
             && trial
         {
-            pause.trying = pause.trying.saturating_sub(1);
+            pause.trials_in_progress = pause.trials_in_progress.saturating_sub(1);
         }
     }
 
-    /// The server refused a request at `now`, and wants none for `wanted`.
-    pub fn note_refused(&mut self, wanted: Option<Duration>, now: Instant) {
+    /// The server refused a request at `now`, and wants none for `requested`.
+    pub fn note_refused(&mut self, requested: Option<Duration>, now: Instant) {
         let known = self.pause;
         let running = known.is_some_and(|pause| pause.until.is_none_or(|until| now < until));
         // Several requests that were on their way count as one refusal.
         if !running {
             self.refusals = self.refusals.saturating_add(1);
         }
-        let doublings = self.refusals.saturating_sub(1).min(DOUBLINGS);
-        let avoidance = (FIRST_AVOIDANCE * 2_u32.pow(doublings)).min(LAST_AVOIDANCE);
-        let until = now.checked_add(wanted.unwrap_or(avoidance));
+        let doublings = self.refusals.saturating_sub(1).min(MAX_DOUBLINGS);
+        let avoidance = (FIRST_AVOIDANCE * 2_u32.pow(doublings)).min(MAX_AVOIDANCE);
+        let until = now.checked_add(requested.unwrap_or(avoidance));
         let next = RequestPause {
             until,
-            wanted: wanted.is_some(),
-            trials: FIRST_TRIALS,
-            trying: 0,
+            requested: requested.is_some(),
+            trial_limit: FIRST_TRIAL_LIMIT,
+            trials_in_progress: 0,
         };
         self.pause = Some(match known {
             Some(known) if running && known.outlasts(&next) => known,
@@ -179,8 +183,8 @@
     /// Whether it holds for longer than `other`, or the server wanted it and
     /// not the other.
     fn outlasts(&self, other: &Self) -> bool {
-        if self.wanted != other.wanted {
-            return self.wanted;
+        if self.requested != other.requested {
+            return self.requested;
         }
         match (self.until, other.until) {
             (None, _) => true,
--- a/crates/hibiscus-routing/src/health.rs
+++ b/crates/hibiscus-routing/src/health.rs
@@ -6,16 +6,16 @@
 /// Time for which a server is avoided after its first failure.
 const FIRST_EJECTION: Duration = Duration::from_secs(2);
 /// Longest time for which a server is avoided.
-const LAST_EJECTION: Duration = Duration::from_secs(30);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 /// Doublings after which the time grows no more.
-const DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// What the last requests showed of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerHealth {
     failures: u32,
     avoided_until: Option<Instant>,
-    probed: bool,
+    probe_in_progress: bool,
 }
 
 impl ServerHealth {
@@ -24,24 +24,24 @@
     pub fn is_usable(&self, now: Instant) -> bool {
         match self.avoided_until {
             None => true,
-            Some(until) => now >= until && !self.probed,
+            Some(until) => now >= until && !self.probe_in_progress,
         }
     }
 
     /// Counts a request that is sent.
     pub fn note_sent(&mut self) {
         if self.avoided_until.is_some() {
-            self.probed = true;
+            self.probe_in_progress = true;
         }
     }
 
     /// Counts a request that the server failed.
     pub fn note_failed(&mut self, now: Instant) {
-        let doublings = self.failures.min(DOUBLINGS);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let ejection = (FIRST_EJECTION * 2_u32.pow(doublings)).min(LAST_EJECTION);
+        let ejection = (FIRST_EJECTION * 2_u32.pow(doublings)).min(MAX_EJECTION);
         self.avoided_until = Some(now + ejection);
-        self.probed = false;
+        self.probe_in_progress = false;
     }
 
     /// Counts a request that the server answered.
@@ -51,6 +51,6 @@
 
     /// Counts a request that showed nothing, such as one whose caller left.
     pub fn note_inconclusive(&mut self) {
-        self.probed = false;
+        self.probe_in_progress = false;
     }
 }
--- a/crates/hibiscus-routing/src/load.rs
+++ b/crates/hibiscus-routing/src/load.rs
@@ -18,10 +18,10 @@
 const HISTORY_SPAN: Duration = Duration::from_secs(5);
 /// Share of the other routers' likeness that is believed, since their
 /// requests differ by chance.
-const LIKENESS: f64 = 0.75;
+const EXTRAPOLATION_WEIGHT: f64 = 0.75;
 /// Other routers that are counted at most: of a large fleet, only some use
 /// the same server at a time.
-const OTHERS_LIMIT: u32 = 8;
+const OTHER_ROUTER_LIMIT: u32 = 8;
 /// Weight of a new measurement of a server's speed.
 const SPEED_WEIGHT: f64 = 0.1;
 
@@ -50,10 +50,10 @@
 
 /// A report and what this process had in progress when it was made.
 #[derive(Clone, Copy, Debug)]
-struct TakenReport {
+struct RecordedReport {
     load: u32,
     made: Instant,
-    own_then: u32,
+    own_at_report: u32,
 }
 
 /// Follows the load of one server.
@@ -61,7 +61,7 @@
 pub struct LoadTracker {
     own: u32,
     history: VecDeque<(Instant, u32)>,
-    report: Option<TakenReport>,
+    report: Option<RecordedReport>,
     token_seconds: f64,
 }
 
@@ -82,11 +82,11 @@
         if self.report.is_some_and(|report| made < report.made) {
             return;
         }
-        let own_then = self.own_at(made);
-        self.report = Some(TakenReport {
+        let own_at_report = self.own_at(made);
+        self.report = Some(RecordedReport {
             load,
             made,
-            own_then,
+            own_at_report,
         });
     }
 
@@ -124,14 +124,14 @@
     /// `others` like it.
     pub fn expected(&self, now: Instant, others: u32) -> f64 {
         let own = f64::from(self.own);
-        let others = f64::from(others.min(OTHERS_LIMIT));
+        let others = f64::from(others.min(OTHER_ROUTER_LIMIT));
         let Some(report) = self.report.filter(|_report| self.is_fresh(now)) else {
             return own * (1.0 + others);
         };
-        let own_then = f64::from(report.own_then);
-        let theirs_then = (f64::from(report.load) - own_then).max(0.0);
-        let theirs_since = (own - own_then) * others * LIKENESS;
-        own + (theirs_then + theirs_since).max(0.0)
+        let own_at_report = f64::from(report.own_at_report);
+        let others_at_report = (f64::from(report.load) - own_at_report).max(0.0);
+        let others_since = (own - own_at_report) * others * EXTRAPOLATION_WEIGHT;
+        own + (others_at_report + others_since).max(0.0)
     }
 
     fn set_own(&mut self, own: u32, now: Instant) {
--- a/crates/hibiscus-routing/src/placement.rs
+++ b/crates/hibiscus-routing/src/placement.rs
@@ -16,23 +16,23 @@
 
 /// Prompt tokens that an engine reads in a millisecond, before any was
 /// measured; the sheets of the deployments say 38.4 and 39.3.
-const PREFILL_PER_MS: f64 = 38.0;
+const PREFILL_TOKENS_PER_MS: f64 = 38.0;
 /// Weight of reading shared parts again beyond its time: it takes memory from
 /// other sessions' parts, and the users price it.
-const AGAIN_WEIGHT: f64 = 3.0;
+const RECOMPUTE_WEIGHT: f64 = 3.0;
 /// What one more request in progress costs, in milliseconds to the first
 /// token: about one step of the batch.
-const REQUEST_MS: f64 = 6.0;
+const RUNNING_REQUEST_MS: f64 = 6.0;
 /// What a request that waits for a place costs, in milliseconds.
-const WAITING_MS: f64 = 30.0;
+const WAITING_REQUEST_MS: f64 = 30.0;
 /// What a new connection costs, in milliseconds: a round trip and the server's
 /// own work, which it does for each of them.
-const CONNECT_MS: f64 = 4.0;
+const NEW_CONNECTION_MS: f64 = 4.0;
 /// Most that an instance's own order of the servers costs, in milliseconds.
-const ORDER_MS: f64 = 2.0;
+const MAX_JITTER_MS: f64 = 2.0;
 /// Share of a home's parts that is believed to be held before this process
 /// sent any there.
-const HOME_BELIEF: f64 = 0.8;
+const PREFERRED_HIT_PROBABILITY: f64 = 0.8;
 /// Time after which a part that was sent is no longer believed to be held.
 const PART_LIFETIME: Duration = Duration::from_secs(30);
 /// Parts remembered of one server.
@@ -62,7 +62,7 @@
             self.parts.insert(*id, now);
             self.order.push_back((now, *id));
         }
-        self.forget_old(now);
+        self.drop_expired(now);
     }
 
     /// The first token of a prompt came, or the prompt ended without one.
@@ -71,25 +71,25 @@
     }
 
     /// Tokens of `parts` that the server has to read.
-    pub fn missing(&self, parts: &[PartTokens], home: bool, now: Duration) -> f64 {
-        let mut missing = 0.0;
-        let mut belief = 1.0;
+    pub fn uncached_tokens(&self, parts: &[PartTokens], preferred: bool, now: Duration) -> f64 {
+        let mut uncached_tokens = 0.0;
+        let mut probability = 1.0;
         for (id, tokens) in parts {
             let sent = self.parts.get(id);
             let held = sent.is_some_and(|sent| now.saturating_sub(*sent) < PART_LIFETIME);
             if !held {
-                belief = if home && belief > 0.0 {
-                    HOME_BELIEF
+                probability = if preferred && probability > 0.0 {
+                    PREFERRED_HIT_PROBABILITY
                 } else {
                     0.0
                 };
             }
-            missing += (1.0 - belief) * *tokens as f64;
+            uncached_tokens += (1.0 - probability) * *tokens as f64;
         }
-        missing
+        uncached_tokens
     }
 
-    fn forget_old(&mut self, now: Duration) {
+    fn drop_expired(&mut self, now: Duration) {
         while let Some((sent, id)) = self.order.front() {
             let old = now.saturating_sub(*sent) > PART_LIFETIME;
             if !old && self.order.len() <= PART_LIMIT {
@@ -127,8 +127,8 @@
 
 /// The place of `server` in the order of the instance `own`.
 pub fn jitter_of(own: &str, server: &str) -> f64 {
-    let drawn = stable_hash(&[own.as_bytes(), server.as_bytes()]);
-    drawn as f64 / u64::MAX as f64
+    let ranked = stable_hash(&[own.as_bytes(), server.as_bytes()]);
+    ranked as f64 / u64::MAX as f64
 }
 
 /// What is to be placed.
@@ -146,17 +146,18 @@
 /// read; `None` without servers.
 pub fn choose(
     servers: &[PlacementCandidate<'_>],
-    case: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
 ) -> Option<(usize, u64)> {
-    let home = home_of(servers, case);
+    let preferred = preferred_server(servers, request);
     let mut best: Option<(usize, f64, f64)> = None;
     for (index, server) in servers.iter().enumerate() {
-        let missing = server
-            .prefill
-            .missing(case.shared, home == Some(index), case.now);
-        let prefill_tokens = missing + case.own_tokens as f64;
-        let again = missing * (AGAIN_WEIGHT - 1.0) / PREFILL_PER_MS;
-        let cost = predicted_ms(server, prefill_tokens) + again;
+        let uncached_tokens =
+            server
+                .prefill
+                .uncached_tokens(request.shared, preferred == Some(index), request.now);
+        let prefill_tokens = uncached_tokens + request.own_tokens as f64;
+        let recompute_cost = uncached_tokens * (RECOMPUTE_WEIGHT - 1.0) / PREFILL_TOKENS_PER_MS;
+        let cost = predicted_ms(server, prefill_tokens) + recompute_cost;
         if best.is_none_or(|(_index, least, _unread)| cost < least) {
             best = Some((index, cost, prefill_tokens));
         }
@@ -166,27 +167,35 @@
 
 /// Milliseconds until the first token of a prompt with `prefill_tokens` tokens.
 fn predicted_ms(server: &PlacementCandidate<'_>, prefill_tokens: f64) -> f64 {
-    let queue = server.prefill.prefill_tokens() as f64 / PREFILL_PER_MS;
+    let queue = server.prefill.prefill_tokens() as f64 / PREFILL_TOKENS_PER_MS;
     let places = f64::from(server.slots.max(1));
     let beyond = (server.expected + 1.0 - places).max(0.0);
     let waiting = f64::from(server.waiting) + beyond;
     // Remote servers cost bytes between data centres and a little time.
     let remote = if server.remote { 1.0 } else { 0.0 };
-    let connect = if server.connected { 0.0 } else { CONNECT_MS };
+    let connect = if server.connected {
+        0.0
+    } else {
+        NEW_CONNECTION_MS
+    };
     queue
-        + prefill_tokens / PREFILL_PER_MS
-        + server.expected * REQUEST_MS * (8.0 / places).min(1.0)
-        + waiting * WAITING_MS
+        + prefill_tokens / PREFILL_TOKENS_PER_MS
+        + server.expected * RUNNING_REQUEST_MS * (8.0 / places).min(1.0)
+        + waiting * WAITING_REQUEST_MS
         + remote
         + connect
-        + server.jitter * ORDER_MS
+        + server.jitter * MAX_JITTER_MS
 }
 
 /// The server that all instances take for the home of the last shared part.
-fn home_of(servers: &[PlacementCandidate<'_>], case: &PlacementRequest<'_>) -> Option<usize> {
-    let (part, _tokens) = case.shared.last()?;
+fn preferred_server(
+    servers: &[PlacementCandidate<'_>],
+    request: &PlacementRequest<'_>,
+) -> Option<usize> {
+    let (part, _tokens) = request.shared.last()?;
     let part = part.to_be_bytes();
     let ranked = servers.iter().enumerate();
-    let home = ranked.max_by_key(|(_index, server)| stable_hash(&[&part, server.name.as_bytes()]));
-    home.map(|(index, _server)| index)
+    let preferred =
+        ranked.max_by_key(|(_index, server)| stable_hash(&[&part, server.name.as_bytes()]));
+    preferred.map(|(index, _server)| index)
 }
--- a/crates/hibiscus-routing/src/policy.rs
+++ b/crates/hibiscus-routing/src/policy.rs
@@ -3,11 +3,11 @@
 use crate::load::ServerLoad;
 
 /// Requests in progress that a cached prefix makes up for.
-const CACHE_WORTH: f64 = 12.0;
+const CACHED_PREFIX_CREDIT: f64 = 12.0;
 /// Factor by which the state of the random numbers grows.
-const RANDOM_FACTOR: u64 = 6_364_136_223_846_793_005;
+const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 /// Number added to the state of the random numbers.
-const RANDOM_STEP: u64 = 1_442_695_040_888_963_407;
+const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
 /// Chooses a server for a request.
 pub trait RoutingPolicy {
@@ -22,7 +22,7 @@
 
 impl RoutingPolicy for RandomChoice {
     fn choose(&mut self, servers: &[ServerLoad], pick: u64) -> Option<usize> {
-        first_staying(servers, position(next_random(pick), servers.len()))
+        first_available(servers, position(next_random(pick), servers.len()))
     }
 }
 
@@ -34,7 +34,7 @@
 
 impl RoutingPolicy for RoundRobin {
     fn choose(&mut self, servers: &[ServerLoad], _pick: u64) -> Option<usize> {
-        let chosen = first_staying(servers, self.next % servers.len().max(1))?;
+        let chosen = first_available(servers, self.next % servers.len().max(1))?;
         self.next = chosen + 1;
         Some(chosen)
     }
@@ -58,21 +58,21 @@
 
 impl RoutingPolicy for LagAware {
     fn choose(&mut self, servers: &[ServerLoad], pick: u64) -> Option<usize> {
-        let usual = usual_token_seconds(servers);
+        let mean = mean_token_seconds(servers);
         let start = position(next_random(pick), servers.len());
         least(servers, start, |server| {
             let slowness = if server.token_seconds > 0.0 {
-                server.token_seconds / usual
+                server.token_seconds / mean
             } else {
                 1.0
             };
-            (server.expected + 1.0) * slowness - server.cached * CACHE_WORTH
+            (server.expected + 1.0) * slowness - server.cached * CACHED_PREFIX_CREDIT
         })
     }
 }
 
 /// The mean time for a token over the servers that show one, 1 without any.
-fn usual_token_seconds(servers: &[ServerLoad]) -> f64 {
+fn mean_token_seconds(servers: &[ServerLoad]) -> f64 {
     let mut sum = 0.0;
     let mut count = 0.0;
     for server in servers {
@@ -85,7 +85,7 @@
 }
 
 /// The first server from `start` on that stays.
-fn first_staying(servers: &[ServerLoad], start: usize) -> Option<usize> {
+fn first_available(servers: &[ServerLoad], start: usize) -> Option<usize> {
     let count = servers.len();
     for step in 0..count {
         let index = (start + step) % count;
@@ -119,7 +119,9 @@
 
 /// The number after `state` in a linear congruential sequence.
 fn next_random(state: u64) -> u64 {
-    state.wrapping_mul(RANDOM_FACTOR).wrapping_add(RANDOM_STEP)
+    state
+        .wrapping_mul(LCG_MULTIPLIER)
+        .wrapping_add(LCG_INCREMENT)
 }
 
 /// A position below `count` from the high bits of `random`.
--- a/crates/hibiscus-routing/tests/load.rs
+++ b/crates/hibiscus-routing/tests/load.rs
@@ -101,17 +101,17 @@
         prefix,
         change,
     };
-    let mut belief = PrefixEstimate::default();
-    belief.take(&event(0, 7, CacheChange::Stored));
-    assert!((belief.of(7) - 1.0).abs() < 1e-9);
-    belief.take(&event(2, 8, CacheChange::Stored));
-    assert!((belief.of(7) - 0.9).abs() < 1e-9);
+    let mut estimate = PrefixEstimate::default();
+    estimate.apply(&event(0, 7, CacheChange::Stored));
+    assert!((estimate.probability(7) - 1.0).abs() < 1e-9);
+    estimate.apply(&event(2, 8, CacheChange::Stored));
+    assert!((estimate.probability(7) - 0.9).abs() < 1e-9);
     // A repeated event changes nothing.
-    belief.take(&event(0, 9, CacheChange::Stored));
-    assert!(belief.of(9).abs() < 1e-9);
-    belief.take(&event(3, 7, CacheChange::Evicted));
-    assert!(belief.of(7).abs() < 1e-9);
+    estimate.apply(&event(0, 9, CacheChange::Stored));
+    assert!(estimate.probability(9).abs() < 1e-9);
+    estimate.apply(&event(3, 7, CacheChange::Evicted));
+    assert!(estimate.probability(7).abs() < 1e-9);
     // After so many lost events nothing is believed.
-    belief.take(&event(100, 1, CacheChange::Stored));
-    assert!(belief.of(8).abs() < 1e-9);
+    estimate.apply(&event(100, 1, CacheChange::Stored));
+    assert!(estimate.probability(8).abs() < 1e-9);
 }
--- a/crates/hibiscus-routing/tests/placement.rs
+++ b/crates/hibiscus-routing/tests/placement.rs
@@ -65,11 +65,11 @@
 #[test]
 fn parts_that_were_sent_are_not_counted_as_unread() {
     let mut fleet = TestFleet::new(6);
-    let (home, before) = fleet.choose(&SESSION, 500);
-    fleet.books[home].note_sent(&SESSION, before, NOW);
-    fleet.books[home].note_prefill_done(before);
+    let (preferred, before) = fleet.choose(&SESSION, 500);
+    fleet.books[preferred].note_sent(&SESSION, before, NOW);
+    fleet.books[preferred].note_prefill_done(before);
     let (again, after) = fleet.choose(&SESSION, 500);
-    assert_eq!((again, after), (home, 500));
+    assert_eq!((again, after), (preferred, 500));
     assert!(before > after);
 }
 
@@ -90,9 +90,9 @@
 #[test]
 fn a_prompt_leaves_a_home_whose_queue_is_longer_than_reading_anew() {
     let mut fleet = TestFleet::new(6);
-    let (home, _unread) = fleet.choose(&SESSION, 100);
-    fleet.books[home].note_sent(&[], 60_000, NOW);
-    assert_ne!(fleet.choose(&SESSION, 100).0, home);
+    let (preferred, _unread) = fleet.choose(&SESSION, 100);
+    fleet.books[preferred].note_sent(&[], 60_000, NOW);
+    assert_ne!(fleet.choose(&SESSION, 100).0, preferred);
 }
 
 #[test]
@@ -113,6 +113,6 @@
 fn parts_are_forgotten_after_their_lifetime() {
     let mut prefill = PrefillTracker::default();
     prefill.note_sent(&SESSION, 0, Duration::from_secs(1));
-    assert!(prefill.missing(&SESSION, false, Duration::from_secs(2)) < 1.0);
-    assert!(prefill.missing(&SESSION, false, Duration::from_secs(90)) > 6_000.0);
+    assert!(prefill.uncached_tokens(&SESSION, false, Duration::from_secs(2)) < 1.0);
+    assert!(prefill.uncached_tokens(&SESSION, false, Duration::from_secs(90)) > 6_000.0);
 }
--- a/crates/hibiscus-traffic/src/availability_table.rs
+++ b/crates/hibiscus-traffic/src/availability_table.rs
@@ -15,7 +15,7 @@
 
 /// Processes without an entry that are remembered: more than leave within the
 /// time for which one of them may still answer.
-const ABSENT_KEPT: usize = 16_384;
+const ABSENT_PROCESS_LIMIT: usize = 16_384;
 
 /// The availability of one process, as its tasks share it.
 pub type SharedAvailability = Rc<RefCell<ServerAvailability>>;
@@ -23,48 +23,48 @@
 /// What processes have said of new requests.
 #[derive(Debug, Default)]
 pub struct AvailabilityTable {
-    known: HashMap<ServerStart, SharedAvailability>,
+    availabilities: HashMap<ServerStart, SharedAvailability>,
     /// Those without an entry, the oldest first.
     absent: VecDeque<ServerStart>,
 }
 
 impl AvailabilityTable {
     /// What the process `start` has said.
-    pub fn of(&mut self, start: &ServerStart) -> SharedAvailability {
-        let known = self.known.entry(start.clone()).or_default();
-        Rc::clone(known)
+    pub fn get_or_insert(&mut self, start: &ServerStart) -> SharedAvailability {
+        let availabilities = self.availabilities.entry(start.clone()).or_default();
+        Rc::clone(availabilities)
     }
 
     /// Notes that `start` leaves; whether that is new.
     pub fn note_draining(&mut self, start: &ServerStart) -> bool {
-        let is_known = self.known.contains_key(start);
-        let new = self.of(start).borrow_mut().note_draining();
+        let is_known = self.availabilities.contains_key(start);
+        let new = self.get_or_insert(start).borrow_mut().note_draining();
         if !is_known {
-            self.note_absent(start);
+            self.note_entry_removed(start);
         }
         new
     }
 
     /// The entry of `start` is gone. What it said last is kept for a while if
     /// it wants no requests.
-    pub fn note_absent(&mut self, start: &ServerStart) {
-        let Some(known) = self.known.get(start) else {
+    pub fn note_entry_removed(&mut self, start: &ServerStart) {
+        let Some(availabilities) = self.availabilities.get(start) else {
             return;
         };
-        let said = *known.borrow();
+        let said = *availabilities.borrow();
         if !said.is_draining() && !said.is_paused() {
-            self.known.remove(start);
+            self.availabilities.remove(start);
             return;
         }
         self.absent.push_back(start.clone());
-        while self.absent.len() > ABSENT_KEPT {
+        while self.absent.len() > ABSENT_PROCESS_LIMIT {
             let Some(oldest) = self.absent.pop_front() else {
                 break;
             };
             // A process whose entry came back is shared with its handle.
-            let held = self.known.get(&oldest).map_or(0, Rc::strong_count);
+            let held = self.availabilities.get(&oldest).map_or(0, Rc::strong_count);
             if held <= 1 {
-                self.known.remove(&oldest);
+                self.availabilities.remove(&oldest);
             }
         }
     }
--- a/crates/hibiscus-traffic/src/crash_detector.rs
+++ b/crates/hibiscus-traffic/src/crash_detector.rs
@@ -36,16 +36,16 @@
 
 /// Time in which what broke at one server is gathered: its connections end
 /// within a few milliseconds of each other.
-const GATHER_TIME: Duration = Duration::from_millis(10);
+const CANDIDATE_GATHER_TIME: Duration = Duration::from_millis(10);
 /// Time for which a server that was found open is not looked at again.
-const OPEN_TIME: Duration = Duration::from_millis(300);
+const OPEN_PORT_RECHECK_DELAY: Duration = Duration::from_millis(300);
 /// Time after the end of a server for which more is kept of streams.
-const ALERT_TIME: Duration = Duration::from_secs(60);
+const CRASH_ALERT_TIME: Duration = Duration::from_secs(60);
 /// Time after its first event for which a stream may yet show that it ends its
 /// server.
-const YOUNG_TIME: Duration = Duration::from_secs(2);
+const STREAM_CANDIDATE_TIME: Duration = Duration::from_secs(2);
 /// Requests noted at one server at the most. Their bodies are kept meanwhile.
-const NOTED_LIMIT: usize = 64;
+const CANDIDATES_PER_SERVER_LIMIT: usize = 64;
 
 /// What is the same about a request when it comes again.
 #[derive(Debug)]
@@ -109,7 +109,7 @@
     /// All of it, until its answer has begun.
     Identity(Rc<RequestIdentity>),
     /// Its print, and the bytes of its body.
-    Print(RequestFingerprint, usize),
+    Fingerprint(RequestFingerprint, usize),
 }
 
 /// A request at a server that may yet end under it.
@@ -121,17 +121,17 @@
     /// When it was sent.
     pub sent: Instant,
     /// Rounds of ends under it that were known then.
-    pub known: u8,
+    pub known_rounds: u8,
 }
 
 impl CrashCandidate {
-    /// The request `id`, which is sent now, with `known` rounds of ends.
-    pub fn new(id: &str, identity: &Rc<RequestIdentity>, known: u8) -> Self {
+    /// The request `id`, which is sent now, with `known_rounds` rounds of ends.
+    pub fn new(id: &str, identity: &Rc<RequestIdentity>, known_rounds: u8) -> Self {
         Self {
             id: id.to_owned(),
             subject: RequestSubject::Identity(Rc::clone(identity)),
             sent: Instant::now(),
-            known,
+            known_rounds,
         }
     }
 
@@ -139,7 +139,7 @@
     pub fn fingerprint(&self) -> RequestFingerprint {
         match &self.subject {
             RequestSubject::Identity(identity) => identity.fingerprint(),
-            RequestSubject::Print(fingerprint, _bytes) => *fingerprint,
+            RequestSubject::Fingerprint(fingerprint, _bytes) => *fingerprint,
         }
     }
 
@@ -147,13 +147,13 @@
     pub fn bytes(&self) -> usize {
         match &self.subject {
             RequestSubject::Identity(identity) => identity.body.len(),
-            RequestSubject::Print(_print, bytes) => *bytes,
+            RequestSubject::Fingerprint(_fingerprint, bytes) => *bytes,
         }
     }
 
     /// Gives the body up, and keeps the print.
     fn drop_body(&mut self) {
-        self.subject = RequestSubject::Print(self.fingerprint(), self.bytes());
+        self.subject = RequestSubject::Fingerprint(self.fingerprint(), self.bytes());
     }
 }
 
@@ -162,26 +162,26 @@
 pub struct StreamCandidate {
     request: Option<CrashCandidate>,
     /// When its first event came.
-    begun: Option<Instant>,
-    watch: Rc<CrashDetector>,
+    first_event: Option<Instant>,
+    detector: Rc<CrashDetector>,
 }
 
 impl StreamCandidate {
     /// The exposure of `request`, which has not begun to be answered.
-    pub fn new(request: CrashCandidate, watch: Rc<CrashDetector>) -> Self {
+    pub fn new(request: CrashCandidate, detector: Rc<CrashDetector>) -> Self {
         Self {
             request: Some(request),
-            begun: None,
-            watch,
+            first_event: None,
+            detector,
         }
     }
 
     /// An event came. Its request is of interest for some time after the
     /// first, if servers ended lately; its body is not.
     pub fn note_event(&mut self) {
-        let Some(begun) = self.begun else {
-            self.begun = Some(Instant::now());
-            if !self.watch.is_alert() {
+        let Some(first_event) = self.first_event else {
+            self.first_event = Some(Instant::now());
+            if !self.detector.is_alert() {
                 self.request = None;
             }
             if let Some(request) = &mut self.request {
@@ -189,34 +189,34 @@
             }
             return;
         };
-        if self.request.is_some() && begun.elapsed() > YOUNG_TIME {
+        if self.request.is_some() && first_event.elapsed() > STREAM_CANDIDATE_TIME {
             self.request = None;
         }
     }
 
     /// `server` broke the stream off.
     pub fn note_broken(&mut self, server: &Rc<ServerHandle>) {
-        self.watch.note_broken(server, self.request.take());
+        self.detector.note_broken(server, self.request.take());
     }
 }
 
 /// Requests that broke at one server.
 #[derive(Debug)]
-struct EndingCase {
+struct CrashCase {
     server: Rc<ServerHandle>,
     requests: Vec<CrashCandidate>,
-    is_taken: bool,
+    is_being_checked: bool,
 }
 
 /// Takes note of requests that servers broke off.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    cases: RefCell<HashMap<ServerStart, EndingCase>>,
+    cases: RefCell<HashMap<ServerStart, CrashCase>>,
     /// Servers that were found open, and when.
-    open: RefCell<HashMap<ServerStart, Instant>>,
+    found_open: RefCell<HashMap<ServerStart, Instant>>,
     /// When a server ended last, as far as is known.
-    last_end: Cell<Option<Instant>>,
-    noted: Notify,
+    last_crash: Cell<Option<Instant>>,
+    has_new: Notify,
 }
 
 impl CrashDetector {
@@ -227,39 +227,39 @@
             return;
         }
         let process = server.entry.start();
-        let found = self.open.borrow().get(&process).copied();
-        if found.is_some_and(|found| found.elapsed() < OPEN_TIME) {
+        let found = self.found_open.borrow().get(&process).copied();
+        if found.is_some_and(|found| found.elapsed() < OPEN_PORT_RECHECK_DELAY) {
             return;
         }
         let mut cases = self.cases.borrow_mut();
-        let case = cases.entry(process).or_insert_with(|| EndingCase {
+        let case = cases.entry(process).or_insert_with(|| CrashCase {
             server: Rc::clone(server),
             requests: Vec::new(),
-            is_taken: false,
+            is_being_checked: false,
         });
-        if case.requests.len() < NOTED_LIMIT {
+        if case.requests.len() < CANDIDATES_PER_SERVER_LIMIT {
             case.requests.extend(request);
         }
-        self.noted.notify_one();
+        self.has_new.notify_one();
     }
 
     /// A server has ended.
     pub fn note_crash(&self) {
-        self.last_end.set(Some(Instant::now()));
+        self.last_crash.set(Some(Instant::now()));
     }
 
     /// Whether servers ended lately.
     fn is_alert(&self) -> bool {
-        let last = self.last_end.get();
-        last.is_some_and(|at| at.elapsed() < ALERT_TIME)
+        let last = self.last_crash.get();
+        last.is_some_and(|at| at.elapsed() < CRASH_ALERT_TIME)
     }
 
     /// Servers that nobody looks at yet, which are looked at from now on.
-    fn take_new(&self) -> Vec<Rc<ServerHandle>> {
+    fn take_unchecked(&self) -> Vec<Rc<ServerHandle>> {
         let mut servers = Vec::new();
         for case in self.cases.borrow_mut().values_mut() {
-            if !case.is_taken {
-                case.is_taken = true;
+            if !case.is_being_checked {
+                case.is_being_checked = true;
                 servers.push(Rc::clone(&case.server));
             }
         }
@@ -267,12 +267,12 @@
     }
 
     /// The look at `server` is over: the requests that broke there.
-    fn close(&self, server: &ServerHandle, port: PortState) -> Vec<CrashCandidate> {
+    fn finish_check(&self, server: &ServerHandle, port: PortState) -> Vec<CrashCandidate> {
         let process = server.entry.start();
         if port == PortState::Open {
-            let mut open = self.open.borrow_mut();
-            open.retain(|_process, found| found.elapsed() < OPEN_TIME);
-            open.insert(process.clone(), Instant::now());
+            let mut found_open = self.found_open.borrow_mut();
+            found_open.retain(|_process, found| found.elapsed() < OPEN_PORT_RECHECK_DELAY);
+            found_open.insert(process.clone(), Instant::now());
         }
         let case = self.cases.borrow_mut().remove(&process);
         case.map_or_else(Vec::new, |case| case.requests)
@@ -282,22 +282,22 @@
 /// Looks at servers that broke requests off for as long as the runtime runs.
 pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     loop {
-        state.crash_detector.noted.notified().await;
-        for server in state.crash_detector.take_new() {
-            tokio::task::spawn_local(look(Rc::clone(&state), server));
+        state.crash_detector.has_new.notified().await;
+        for server in state.crash_detector.take_unchecked() {
+            tokio::task::spawn_local(check_server(Rc::clone(&state), server));
         }
     }
 }
 
 /// Finds out whether `server` has ended.
-async fn look<D: RequestDialect>(state: Rc<TrafficState<D>>, server: Rc<ServerHandle>) {
-    tokio::time::sleep(GATHER_TIME).await;
+async fn check_server<D: RequestDialect>(state: Rc<TrafficState<D>>, server: Rc<ServerHandle>) {
+    tokio::time::sleep(CANDIDATE_GATHER_TIME).await;
     let port = if server.has_open_link() {
         PortState::Open
     } else {
         connect::look_at_port(server.entry.address).await
     };
-    let requests = state.crash_detector.close(&server, port);
+    let requests = state.crash_detector.finish_check(&server, port);
     let entry = &server.entry;
     // One that leaves as planned ends with or without requests on it.
     if port != PortState::Closed || !server.is_serving() {
--- a/crates/hibiscus-traffic/src/directory.rs
+++ b/crates/hibiscus-traffic/src/directory.rs
@@ -34,7 +34,7 @@
 
 /// Time after which an instance that does not answer is taken for gone: cuts
 /// between instances last seconds, and replaced ones must not count for ever.
-const FORGOTTEN_TIME: Duration = Duration::from_secs(600);
+const CRASH_REPORT_LIFETIME: Duration = Duration::from_secs(600);
 
 /// Subjects whose first instance is remembered: more than there are budgets.
 const FIRST_KEPT: usize = 4_096;
@@ -244,7 +244,7 @@
                 continue;
             }
             let since = known.silent_since.get_or_insert_with(Instant::now);
-            if since.elapsed() < FORGOTTEN_TIME {
+            if since.elapsed() < CRASH_REPORT_LIFETIME {
                 remembered += 1;
             }
         }
--- a/crates/hibiscus-traffic/src/members.rs
+++ b/crates/hibiscus-traffic/src/members.rs
@@ -23,7 +23,7 @@
 
 /// Least time between two messages of news to a contact: findings that come
 /// together go together, and the loss of many machines costs no more.
-const NEWS_PAUSE: Duration = Duration::from_millis(100);
+const NOTICE_PAUSE: Duration = Duration::from_millis(100);
 /// Time between two exchanges that repair.
 const EXCHANGE_PAUSE: Duration = Duration::from_secs(2);
 
@@ -48,7 +48,7 @@
             let news = state.directory.borrow_mut().next_news();
             if let Some(message) = news {
                 tell_contacts(&state, &message);
-                next_news = now + NEWS_PAUSE;
+                next_news = now + NOTICE_PAUSE;
             }
         }
         if now >= next_exchange {
--- a/crates/hibiscus-traffic/src/probe.rs
+++ b/crates/hibiscus-traffic/src/probe.rs
@@ -23,15 +23,15 @@
 use crate::updates::TrafficUpdate;
 
 /// Time between two questions: callers are told of a death within a second.
-const INTERVAL: Duration = Duration::from_millis(400);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 /// The same in a large fleet, where a question more costs every instance, and
 /// several watch each.
-const LARGE_INTERVAL: Duration = Duration::from_millis(800);
+const LARGE_FLEET_REQUEST_INTERVAL: Duration = Duration::from_millis(800);
 /// Time between two looks whether the kept connection was closed: a process
 /// that ends closes its own, so its watchers need not wait to ask.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Time for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Asks the process that announced `entry` at `path` for as long as this
 /// instance is to watch it.
@@ -41,12 +41,12 @@
     path: &'static str,
 ) {
     let mut link = None;
-    let mut last = None;
+    let mut last_serves = None;
     while state.directory.borrow().watches(&entry) {
-        let asked = ask(&mut link, &entry, path);
-        let answer = tokio::time::timeout(ANSWER_LIMIT, asked).await;
-        let serves = matches!(answer, Ok(Some(StatusCode::OK)));
-        let outcome = match answer {
+        let exchange = request_readiness(&mut link, &entry, path);
+        let response = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
+        let serves = matches!(response, Ok(Some(StatusCode::OK)));
+        let outcome = match response {
             Ok(Some(_status)) if serves => QuestionOutcome::Answered,
             Ok(Some(_status)) => QuestionOutcome::Refused,
             _ => QuestionOutcome::Unanswered,
@@ -54,31 +54,34 @@
         state
             .tally
             .count_question(QuestionSubject::Readiness, outcome);
-        if !matches!(answer, Ok(Some(_))) {
+        if !matches!(response, Ok(Some(_))) {
             link = None;
         }
-        if last != Some(serves) {
+        if last_serves != Some(serves) {
             event!(
                 EventCode::InstanceWatched,
                 "instance={} serves={serves}",
                 entry.name
             );
-            last = Some(serves);
+            last_serves = Some(serves);
         }
         state.apply(TrafficUpdate::Reachable(entry.clone(), serves));
-        rest(&state, link.as_ref()).await;
+        wait_for_next_request(&state, link.as_ref()).await;
     }
 }
 
 /// Waits until the next question is due.
-async fn rest<D: RequestDialect>(state: &TrafficState<D>, link: Option<&ServerLink>) {
+async fn wait_for_next_request<D: RequestDialect>(
+    state: &TrafficState<D>,
+    link: Option<&ServerLink>,
+) {
     if !state.directory.borrow().is_large() {
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
         return;
     }
-    let begun = Instant::now();
-    while begun.elapsed() < LARGE_INTERVAL {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+    let started = Instant::now();
+    while started.elapsed() < LARGE_FLEET_REQUEST_INTERVAL {
+        tokio::time::sleep(CLOSE_CHECK_INTERVAL).await;
         if link.is_some_and(|link| !link.is_usable()) {
             return;
         }
@@ -86,7 +89,7 @@
 }
 
 /// One question over the kept connection, or over a new one.
-async fn ask(
+async fn request_readiness(
     link: &mut Option<ServerLink>,
     entry: &InstanceEntry,
     path: &'static str,
@@ -100,8 +103,8 @@
     *request.uri_mut() = Uri::from_static(path);
     let host = http::HeaderValue::from_str(&entry.readiness.to_string()).ok()?;
     request.headers_mut().insert(http::header::HOST, host);
-    let answer = sender.send_request(request).await.ok()?;
-    let status = answer.status();
-    answer.into_body().collect().await.ok()?;
+    let response = sender.send_request(request).await.ok()?;
+    let status = response.status();
+    response.into_body().collect().await.ok()?;
     Some(status)
 }
--- a/crates/hibiscus-traffic/src/retries.rs
+++ b/crates/hibiscus-traffic/src/retries.rs
@@ -13,7 +13,7 @@
 
 /// Part of the bound that is used, since arrivals are counted elsewhere and a
 /// little later.
-const USED_PART: f64 = 0.8;
+const USED_SHARE: f64 = 0.8;
 
 /// The bound for the whole fleet.
 #[derive(Clone, Copy, Debug)]
@@ -34,9 +34,9 @@
 }
 
 impl ServiceCounts {
-    fn left(&self, bound: RetryBound, instances: u32) -> f64 {
+    fn remaining(&self, bound: RetryBound, instances: u32) -> f64 {
         let slack = bound.slack / f64::from(instances.max(1));
-        let limit = (self.requests.len() as f64 * bound.share + slack) * USED_PART;
+        let limit = (self.requests.len() as f64 * bound.share + slack) * USED_SHARE;
         limit - self.retries.len() as f64
     }
 }
@@ -73,7 +73,7 @@
         };
         drop_old(&mut counts.requests, now, bound.window);
         drop_old(&mut counts.retries, now, bound.window);
-        counts.left(bound, instances) >= 1.0
+        counts.remaining(bound, instances) >= 1.0
     }
 
     /// Takes one retry, with `instances` that may send some; false when none
@@ -91,15 +91,15 @@
 
     /// Retries that may be sent now, over all services, with `instances` that
     /// may send some.
-    pub fn left(&mut self, instances: u32, now: Duration) -> f64 {
+    pub fn remaining(&mut self, instances: u32, now: Duration) -> f64 {
         let bound = self.bound;
-        let mut left = 0.0;
+        let mut remaining = 0.0;
         for counts in self.services.values_mut() {
             drop_old(&mut counts.requests, now, bound.window);
             drop_old(&mut counts.retries, now, bound.window);
-            left += counts.left(bound, instances).max(0.0);
+            remaining += counts.remaining(bound, instances).max(0.0);
         }
-        left
+        remaining
     }
 }
 
--- a/crates/hibiscus-traffic/src/server_changes.rs
+++ b/crates/hibiscus-traffic/src/server_changes.rs
@@ -24,10 +24,10 @@
 const RELAY_STAGGER: Duration = Duration::from_millis(400);
 /// Time without news after which a follower reads the servers' topic itself: a
 /// leaving server must be known within 2 s.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_300);
+const CHANGE_SET_SILENCE_LIMIT: Duration = Duration::from_millis(1_300);
 /// Changes in one record: an entry is some 150 bytes, a record of the store
 /// takes 262,144.
-const CHANGES_LIMIT: usize = 1_000;
+const CHANGES_PER_SET_LIMIT: usize = 1_000;
 
 /// What became of one server's entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -91,7 +91,7 @@
     }
 
     /// Takes the record at `offset` over; `None` when nothing changed by it.
-    pub fn take(&mut self, offset: u64, change: ServerChange) -> Option<ServerChange> {
+    pub fn apply(&mut self, offset: u64, change: ServerChange) -> Option<ServerChange> {
         if offset < self.position {
             return None;
         }
@@ -118,18 +118,18 @@
     /// Fails when news before these are missing.
     pub fn apply_change_set(
         &mut self,
-        news: ServerChangeSet,
+        change_sets: ServerChangeSet,
     ) -> Result<Vec<ServerChange>, ChangeGap> {
-        if news.from > self.position {
+        if change_sets.from > self.position {
             return Err(ChangeGap {
                 position: self.position,
             });
         }
         let mut changes = Vec::new();
-        for (offset, change) in news.changes {
-            changes.extend(self.take(offset, change));
+        for (offset, change) in change_sets.changes {
+            changes.extend(self.apply(offset, change));
         }
-        self.advance(news.upto);
+        self.advance(change_sets.upto);
         Ok(changes)
     }
 }
@@ -140,9 +140,9 @@
     from: u64,
     changes: Vec<(u64, ServerChange)>,
     /// When the oldest of them was found.
-    since: Option<Duration>,
+    oldest_change: Option<Duration>,
     /// When news were published last.
-    published: Duration,
+    last_published: Duration,
 }
 
 impl PendingChanges {
@@ -151,41 +151,44 @@
         Self {
             from,
             changes: Vec::new(),
-            since: None,
-            published: now,
+            oldest_change: None,
+            last_published: now,
         }
     }
 
     /// Adds a change that the record at `offset` made.
-    pub fn note(&mut self, offset: u64, change: ServerChange, now: Duration) {
-        self.since.get_or_insert(now);
+    pub fn push(&mut self, offset: u64, change: ServerChange, now: Duration) {
+        self.oldest_change.get_or_insert(now);
         self.changes.push((offset, change));
     }
 
     /// News that cover the records before `upto` were published, by this
     /// relay or another.
     pub fn note_published(&mut self, upto: u64, now: Duration) {
-        self.published = self.published.max(now);
+        self.last_published = self.last_published.max(now);
         self.changes.retain(|(offset, _change)| *offset >= upto);
         self.from = self.from.max(upto);
         if self.changes.is_empty() {
-            self.since = None;
+            self.oldest_change = None;
         }
     }
 
     /// Whether the relay with `place` others before it publishes at `now`.
     pub fn is_due(&self, place: u32, now: Duration) -> bool {
         let stagger = RELAY_STAGGER * place;
-        let waits = |since: Duration, most: Duration| now.saturating_sub(since) >= most + stagger;
-        self.since.is_some_and(|since| waits(since, Duration::ZERO))
-            || waits(self.published, CHANGE_SET_INTERVAL)
+        let waits = |oldest_change: Duration, most: Duration| {
+            now.saturating_sub(oldest_change) >= most + stagger
+        };
+        self.oldest_change
+            .is_some_and(|oldest_change| waits(oldest_change, Duration::ZERO))
+            || waits(self.last_published, CHANGE_SET_INTERVAL)
     }
 
     /// The records to publish when those before `position` were read.
-    pub fn news(&self, position: u64) -> Vec<ServerChangeSet> {
-        let mut news = Vec::new();
+    pub fn change_sets(&self, position: u64) -> Vec<ServerChangeSet> {
+        let mut change_sets = Vec::new();
         let mut from = self.from;
-        let mut parts = self.changes.chunks(CHANGES_LIMIT).peekable();
+        let mut parts = self.changes.chunks(CHANGES_PER_SET_LIMIT).peekable();
         while let Some(part) = parts.next() {
             let last = part.last().map_or(from, |(offset, _change)| offset + 1);
             let upto = if parts.peek().is_some() {
@@ -193,26 +196,26 @@
             } else {
                 position
             };
-            news.push(ServerChangeSet {
+            change_sets.push(ServerChangeSet {
                 from,
                 upto,
                 changes: part.to_vec(),
             });
             from = upto;
         }
-        if news.is_empty() {
-            news.push(ServerChangeSet {
+        if change_sets.is_empty() {
+            change_sets.push(ServerChangeSet {
                 from,
                 upto: position.max(from),
                 changes: Vec::new(),
             });
         }
-        news
+        change_sets
     }
 }
 
-/// Whether a follower that heard news last at `heard` reads the servers' topic
+/// Whether a follower that heard news last at `last_received` reads the servers' topic
 /// itself at `now`.
-pub fn is_silent(heard: Duration, now: Duration) -> bool {
-    now.saturating_sub(heard) >= SILENCE_LIMIT
+pub fn is_stale(last_received: Duration, now: Duration) -> bool {
+    now.saturating_sub(last_received) >= CHANGE_SET_SILENCE_LIMIT
 }
--- a/crates/hibiscus-traffic/src/server_registry.rs
+++ b/crates/hibiscus-traffic/src/server_registry.rs
@@ -18,10 +18,10 @@
 
 /// One server of the roster.
 #[derive(Clone, Debug)]
-struct RosterEntry {
+struct RegisteredServer {
     entry: ServerEntry,
     /// When it is dropped unless it writes again.
-    lapses: Option<Duration>,
+    expires_at: Option<Duration>,
 }
 
 /// What changed in the roster.
@@ -36,39 +36,39 @@
 /// The servers by name.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRegistry {
-    servers: BTreeMap<ServerName, RosterEntry>,
-    away: bool,
-    returned: Option<Duration>,
+    servers: BTreeMap<ServerName, RegisteredServer>,
+    is_store_lost: bool,
+    store_returned_at: Option<Duration>,
 }
 
 impl ServerRegistry {
     /// The store can't be read.
     pub fn note_store_lost(&mut self) {
-        self.away = true;
+        self.is_store_lost = true;
     }
 
     /// The store was read again at `now`.
     pub fn note_store_read(&mut self, now: Duration) {
-        if self.away {
-            self.returned = Some(now);
+        if self.is_store_lost {
+            self.store_returned_at = Some(now);
         }
-        self.away = false;
+        self.is_store_lost = false;
     }
 
     /// Takes an entry over; `None` when nothing but its age changed.
     pub fn put(&mut self, entry: ServerEntry) -> Option<RegistryChange> {
         let held = self.servers.get_mut(&entry.name);
         if let Some(held) = held {
-            held.lapses = None;
+            held.expires_at = None;
             if held.entry == entry {
                 return None;
             }
             held.entry = entry.clone();
             return Some(RegistryChange::Present(entry));
         }
-        let held = RosterEntry {
+        let held = RegisteredServer {
             entry: entry.clone(),
-            lapses: None,
+            expires_at: None,
         };
         self.servers.insert(entry.name.clone(), held);
         Some(RegistryChange::Present(entry))
@@ -76,10 +76,10 @@
 
     /// Takes the removal of an entry over.
     pub fn remove(&mut self, name: &ServerName, now: Duration) -> Option<RegistryChange> {
-        let until = match self.returned {
-            _ if self.away => Some(now + ENTRY_RETURN_TIME),
-            Some(returned) if now < returned + ENTRY_RETURN_TIME => {
-                Some(returned + ENTRY_RETURN_TIME)
+        let until = match self.store_returned_at {
+            _ if self.is_store_lost => Some(now + ENTRY_RETURN_TIME),
+            Some(store_returned_at) if now < store_returned_at + ENTRY_RETURN_TIME => {
+                Some(store_returned_at + ENTRY_RETURN_TIME)
             }
             _ => None,
         };
@@ -88,7 +88,7 @@
         if let Some(until) = until
             && held.entry.phase == ServerPhase::Serving
         {
-            held.lapses = Some(until);
+            held.expires_at = Some(until);
             return None;
         }
         self.servers.remove(name);
@@ -116,11 +116,11 @@
     /// Drops the servers that did not come back by `now`.
     pub fn expire(&mut self, now: Duration) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
-        if self.away {
+        if self.is_store_lost {
             return changes;
         }
         self.servers.retain(|name, held| {
-            let gone = held.lapses.is_some_and(|until| now >= until);
+            let gone = held.expires_at.is_some_and(|until| now >= until);
             if gone {
                 changes.push(RegistryChange::Gone(name.clone()));
             }
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -39,21 +39,21 @@
 
 /// Time without a byte from a server that has work, after which new requests
 /// avoid it: steps take some 5 ms, calls 30 ms, and prompts some 300 ms.
-const SILENCE_LIMIT: Duration = Duration::from_millis(450);
+const SERVER_SILENCE_LIMIT: Duration = Duration::from_millis(450);
 /// Time for which a server that was found closed is avoided. Its entry lapses
 /// meanwhile, or names another start.
-const CLOSED_TIME: Duration = Duration::from_secs(6);
+const CLOSED_SERVER_AVOIDANCE: Duration = Duration::from_secs(6);
 /// Idle connections kept to one server at the most.
-const IDLE_LINKS: usize = 16;
+const IDLE_LINK_LIMIT: usize = 16;
 /// Part of the connections that a server accepts which all instances together
 /// keep idle; the rest is for requests in progress.
-const IDLE_PART: f64 = 0.5;
+const IDLE_SHARE: f64 = 0.5;
 
 /// Idle connections that one of `instances` keeps to a server that accepts
-/// `most` from all of them.
-pub fn idle_share(most: u32, instances: u32) -> usize {
-    let share = f64::from(most) * IDLE_PART / f64::from(instances.max(1));
-    (share as usize).clamp(1, IDLE_LINKS)
+/// `limit` from all of them.
+pub fn idle_share(limit: u32, instances: u32) -> usize {
+    let share = f64::from(limit) * IDLE_SHARE / f64::from(instances.max(1));
+    (share as usize).clamp(1, IDLE_LINK_LIMIT)
 }
 
 /// One server and what is known of it.
@@ -61,14 +61,14 @@
 pub struct ServerHandle {
     /// Its own description.
     pub entry: ServerEntry,
-    gone: Cell<bool>,
+    removed: Cell<bool>,
     /// When it was found that it has ended.
-    ended: Cell<Option<Instant>>,
+    closed_at: Cell<Option<Instant>>,
     load: RefCell<LoadTracker>,
     waiting: Cell<u32>,
     in_progress: Cell<u32>,
     /// When it was last heard, or got work after it had none.
-    heard: Cell<Instant>,
+    last_received: Cell<Instant>,
     health: RefCell<ServerHealth>,
     availability: SharedAvailability,
     /// Its place in this instance's own order of the servers.
@@ -90,24 +90,24 @@
         Self {
             jitter: placement::jitter_of(own.as_str(), entry.name.as_str()),
             entry,
-            gone: Cell::new(false),
-            ended: Cell::new(None),
+            removed: Cell::new(false),
+            closed_at: Cell::new(None),
             load: RefCell::default(),
             waiting: Cell::new(0),
             in_progress: Cell::new(0),
-            heard: Cell::new(Instant::now()),
+            last_received: Cell::new(Instant::now()),
             health: RefCell::default(),
             availability,
             prefill: RefCell::default(),
             idle: RefCell::default(),
-            idle_limit: Cell::new(IDLE_LINKS),
+            idle_limit: Cell::new(IDLE_LINK_LIMIT),
             idle_links: Rc::clone(idle_links),
         }
     }
 
     /// Whether it does not leave.
     pub fn is_serving(&self) -> bool {
-        let serving = !self.gone.get() && self.entry.phase == ServerPhase::Serving;
+        let serving = !self.removed.get() && self.entry.phase == ServerPhase::Serving;
         serving && !self.availability.borrow().is_draining()
     }
 
@@ -157,19 +157,19 @@
 
     /// Notes that its port is closed.
     pub fn note_closed(&self) {
-        self.ended.set(Some(Instant::now()));
+        self.closed_at.set(Some(Instant::now()));
         self.drop_idle(0);
     }
 
     /// Whether it was found closed lately. One that starts again is another.
     pub fn is_closed(&self) -> bool {
-        let ended = self.ended.get();
-        ended.is_some_and(|at| at.elapsed() < CLOSED_TIME)
+        let closed_at = self.closed_at.get();
+        closed_at.is_some_and(|at| at.elapsed() < CLOSED_SERVER_AVOIDANCE)
     }
 
     /// Notes that bytes came from it.
     pub fn note_received(&self) {
-        self.heard.set(Instant::now());
+        self.last_received.set(Instant::now());
     }
 
     /// Requests of this instance in progress there.
@@ -179,16 +179,16 @@
 
     /// Whether it has work and has been silent for long.
     pub fn is_silent(&self) -> bool {
-        self.in_progress.get() > 0 && self.heard.get().elapsed() > SILENCE_LIMIT
+        self.in_progress.get() > 0 && self.last_received.get().elapsed() > SERVER_SILENCE_LIMIT
     }
 
     /// Whether nothing speaks against sending to it.
-    fn is_well(&self, now: Instant) -> bool {
+    fn is_healthy(&self, now: Instant) -> bool {
         !self.is_silent() && !self.is_closed() && self.health.borrow().is_usable(now)
     }
 
     /// Whether it wants requests, as far as it said.
-    fn is_open(&self, now: Instant) -> bool {
+    fn is_eligible(&self, now: Instant) -> bool {
         self.availability.borrow().eligibility(now) == ServerEligibility::Open
     }
 
@@ -222,10 +222,10 @@
         }
     }
 
-    /// Drops the oldest idle connections until at most `most` are left.
-    fn drop_idle(&self, most: usize) {
+    /// Drops the oldest idle connections until at most `limit` are left.
+    fn drop_idle(&self, limit: usize) {
         let mut idle = self.idle.borrow_mut();
-        let surplus = idle.len().saturating_sub(most);
+        let surplus = idle.len().saturating_sub(limit);
         for ticket in idle.drain(..surplus) {
             drop(self.idle_links.take(ticket));
         }
@@ -312,7 +312,7 @@
 
 impl NoServer {
     /// The reason when another server wants no requests until `until`.
-    fn or_back(self, until: Option<Instant>, now: Instant) -> Self {
+    fn with_pause_until(self, until: Option<Instant>, now: Instant) -> Self {
         let back = until.map(|until| until.saturating_duration_since(now));
         match self {
             Self::Pausing(Some(first)) => {
@@ -405,7 +405,7 @@
         tried: &[ServerName],
         data_centre: &DataCentre,
         others: u32,
-        case: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Result<ChosenServer, NoServer> {
         let now = Instant::now();
         let servers = self.by_service.get(service).ok_or(NoServer::Missing)?;
@@ -419,11 +419,11 @@
             match server.availability.borrow().eligibility(now) {
                 ServerEligibility::Open => usable.push(server),
                 ServerEligibility::LastResort => avoided.push(server),
-                ServerEligibility::Paused(until) => none = none.or_back(until, now),
+                ServerEligibility::Paused(until) => none = none.with_pause_until(until, now),
                 ServerEligibility::Draining => {}
             }
         }
-        let healthy = |server: &&Rc<ServerHandle>| server.is_well(now);
+        let healthy = |server: &&Rc<ServerHandle>| server.is_healthy(now);
         if usable.iter().any(healthy) {
             usable.retain(healthy);
         } else {
@@ -446,7 +446,7 @@
                 jitter: server.jitter,
             });
         }
-        let (index, prefill_tokens) = placement::choose(&views, case).ok_or(none)?;
+        let (index, prefill_tokens) = placement::choose(&views, request).ok_or(none)?;
         Ok(ChosenServer {
             server: Rc::clone(usable[index]),
             prefill_tokens,
@@ -459,7 +459,8 @@
         let now = Instant::now();
         let servers = self.by_service.get(service).into_iter().flatten();
         let mut others = servers.filter(|server| !tried.contains(&server.entry.name));
-        others.any(|server| server.is_serving() && server.is_open(now) && server.is_well(now))
+        others
+            .any(|server| server.is_serving() && server.is_eligible(now) && server.is_healthy(now))
     }
 
     fn put(&mut self, entry: ServerEntry) {
@@ -474,11 +475,12 @@
             return;
         }
         let start = entry.start();
-        let availability = self.availability_table.of(&start);
-        if let Some(before) = self.take_out(&entry.name)
+        let availability = self.availability_table.get_or_insert(&start);
+        if let Some(before) = self.detach(&entry.name)
             && before.entry.start() != start
         {
-            self.availability_table.note_absent(&before.entry.start());
+            self.availability_table
+                .note_entry_removed(&before.entry.start());
         }
         let server = Rc::new(ServerHandle::new(
             entry,
@@ -496,15 +498,16 @@
     }
 
     fn remove(&mut self, name: &ServerName) {
-        if let Some(server) = self.take_out(name) {
-            self.availability_table.note_absent(&server.entry.start());
+        if let Some(server) = self.detach(name) {
+            self.availability_table
+                .note_entry_removed(&server.entry.start());
         }
     }
 
     /// Takes the handle of `name` out, which gets nothing more.
-    fn take_out(&mut self, name: &ServerName) -> Option<Rc<ServerHandle>> {
+    fn detach(&mut self, name: &ServerName) -> Option<Rc<ServerHandle>> {
         let server = self.by_name.remove(name)?;
-        server.gone.set(true);
+        server.removed.set(true);
         server.drop_idle(0);
         if let Some(servers) = self.by_service.get_mut(&server.entry.service) {
             servers.retain(|held| held.entry.name != *name);
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -319,7 +319,7 @@
             }
             TrafficUpdate::Suspects(update) => {
                 let keeps = self.maintains_suspects();
-                self.suspects.take_stored(update, keeps, self.now());
+                self.suspects.apply_update(update, keeps, self.now());
             }
             TrafficUpdate::Instance(entry) => {
                 self.announce(entry);
@@ -455,7 +455,7 @@
             config_age: now.saturating_sub(self.table_since.get()),
             servers: servers.count(),
             silent_servers: servers.count_silent(),
-            retries_left: self.retries.borrow_mut().left(instances, now),
+            retries_left: self.retries.borrow_mut().remaining(instances, now),
             tokens: self.budgets.token_sums(),
             tokens_free: self.budgets.free_tokens(),
             ready: directory.is_ready(),
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -46,19 +46,19 @@
 pub const SUSPECTS: &str = "hibiscus_suspects";
 
 /// News of each kind in one message over the link: less than 20 KB.
-const NEWS_LIMIT: usize = 100;
+const NOTICE_ITEM_LIMIT: usize = 100;
 /// News that wait to be passed on over the link; the topic has what is lost.
-const WAITING_LIMIT: usize = 10_000;
+const QUEUED_ITEM_LIMIT: usize = 10_000;
 /// Pause after a message, so that what is found at the same moment goes
 /// together.
-const NEWS_PAUSE: Duration = Duration::from_millis(20);
+const NOTICE_PAUSE: Duration = Duration::from_millis(20);
 /// Pause before an instance that did not answer is told once more.
-const REPEAT_PAUSE: Duration = Duration::from_millis(200);
+const RESEND_PAUSE: Duration = Duration::from_millis(200);
 /// Time after which another instance appends what the topic does not hold: the
 /// one that saw the server end may have been killed.
-const STORE_TIME: Duration = Duration::from_secs(5);
+const APPEND_TAKEOVER_DELAY: Duration = Duration::from_secs(5);
 /// Subject by which one instance is chosen for that.
-const STORE_SUBJECT: &str = "suspects";
+const MAINTAINER_SUBJECT: &str = "suspects";
 
 /// What a request that is to be sent is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     pub fn rounds(&self) -> u8 {
         match self {
             Self::Clear => 0,
-            Self::Suspect(case) | Self::Quarantined(case) => case.rounds,
+            Self::Suspect(summary) | Self::Quarantined(summary) => summary.rounds,
         }
     }
 }
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 pub enum SuspectUpdate {
     /// All of it, read anew.
-    Whole(Vec<CrashReport>),
+    Snapshot(Vec<CrashReport>),
     /// A record that was appended.
     Appended(SuspectRecord),
 }
@@ -111,9 +111,9 @@
 #[derive(Debug)]
 pub struct SuspectTracker {
     own: InstanceName,
-    book: RefCell<CrashTable>,
-    waiting: RefCell<CrashNotice>,
-    has_news: Notify,
+    crashes: RefCell<CrashTable>,
+    queued: RefCell<CrashNotice>,
+    has_queued: Notify,
     outbox: SyncSender<Vec<SuspectRecord>>,
 }
 
@@ -122,9 +122,9 @@
     pub fn new(own: InstanceName, outbox: SyncSender<Vec<SuspectRecord>>) -> Self {
         Self {
             own,
-            book: RefCell::default(),
-            waiting: RefCell::default(),
-            has_news: Notify::new(),
+            crashes: RefCell::default(),
+            queued: RefCell::default(),
+            has_queued: Notify::new(),
             outbox,
         }
     }
@@ -132,14 +132,16 @@
     /// What is known against a request. Its body is read only when others of
     /// its team, path and length are known.
     pub fn status(&self, identity: &RequestIdentity) -> SuspectStatus {
-        let book = self.book.borrow();
-        if book.is_empty() || !book.may_hold(identity.coarse()) {
+        let crashes = self.crashes.borrow();
+        if crashes.is_empty() || !crashes.may_contain(identity.coarse()) {
             return SuspectStatus::Clear;
         }
-        match book.case(&identity.fingerprint(), UnixMillis::now()) {
+        match crashes.summary(&identity.fingerprint(), UnixMillis::now()) {
             None => SuspectStatus::Clear,
-            Some(case) if case.released.is_some() => SuspectStatus::Quarantined(case),
-            Some(case) => SuspectStatus::Suspect(case),
+            Some(summary) if summary.quarantined_until.is_some() => {
+                SuspectStatus::Quarantined(summary)
+            }
+            Some(summary) => SuspectStatus::Suspect(summary),
         }
     }
 
@@ -148,23 +150,23 @@
         let entry = &server.entry;
         let process = ServerProcess::of(&entry.name, entry.started);
         let mut news = Vec::with_capacity(requests.len());
-        if self.book.borrow_mut().note_crash(process, now) {
-            self.waiting.borrow_mut().servers.push(entry.start());
-            self.has_news.notify_one();
+        if self.crashes.borrow_mut().note_crash(process, now) {
+            self.queued.borrow_mut().servers.push(entry.start());
+            self.has_queued.notify_one();
         }
         for request in requests {
             let fingerprint = request.fingerprint();
-            let mut book = self.book.borrow_mut();
-            let evidence = CrashReport {
+            let mut crashes = self.crashes.borrow_mut();
+            let report = CrashReport {
                 fingerprint,
                 server: entry.name.clone(),
                 started: entry.started,
-                known: request.known,
-                alone: book.is_alone(&fingerprint, process, now),
+                known_rounds: request.known_rounds,
+                isolated: crashes.is_isolated(&fingerprint, process, now),
                 reporter: self.own.clone(),
                 seen: UnixMillis::now(),
             };
-            let before = book.case(&fingerprint, evidence.seen);
+            let before = crashes.summary(&fingerprint, report.seen);
             event!(
                 EventCode::RequestAtEnd,
                 "request={} server={} print={fingerprint} bytes={} sent_ms={} known_rounds={} servers_before={} alone={}",
@@ -172,27 +174,27 @@
                 entry.name,
                 request.bytes(),
                 request.sent.elapsed().as_millis(),
-                request.known,
-                before.map_or(0, |case| case.servers),
-                evidence.alone
+                request.known_rounds,
+                before.map_or(0, |summary| summary.servers),
+                report.isolated
             );
-            if book.take(evidence.clone(), now) {
-                news.push(SuspectRecord::Crashed(evidence));
+            if crashes.merge(report.clone(), now) {
+                news.push(SuspectRecord::Crashed(report));
             }
         }
-        self.store(news.clone());
-        self.pass_on(news);
+        self.append(news.clone());
+        self.enqueue(news);
     }
 
     /// The process `start` of a server leaves, which was not known here.
     pub fn note_draining(&self, start: ServerStart) {
-        self.waiting.borrow_mut().draining.push(start);
-        self.has_news.notify_one();
+        self.queued.borrow_mut().draining.push(start);
+        self.has_queued.notify_one();
     }
 
     /// The request was answered, so it ends no servers.
     pub fn note_response(&self, id: &str, fingerprint: &RequestFingerprint) {
-        let keys = self.book.borrow_mut().clear(fingerprint);
+        let keys = self.crashes.borrow_mut().clear(fingerprint);
         if keys.is_empty() {
             return;
         }
@@ -203,105 +205,102 @@
             keys.len()
         );
         let news: Vec<_> = keys.into_iter().map(SuspectRecord::Removed).collect();
-        self.store(news.clone());
-        self.pass_on(news);
+        self.append(news.clone());
+        self.enqueue(news);
     }
 
     /// Takes over at `now` what another instance tells; the servers of which
     /// nothing was known.
-    pub fn take_news(&self, news: &CrashNotice, now: Duration) -> Vec<ServerStart> {
+    pub fn merge_notice(&self, news: &CrashNotice, now: Duration) -> Vec<ServerStart> {
         let mut servers = Vec::new();
         for closed in &news.servers {
             let process = ServerProcess::of(&closed.server, closed.started);
-            if self.book.borrow_mut().note_crash(process, now) {
+            if self.crashes.borrow_mut().note_crash(process, now) {
                 servers.push(closed.clone());
             }
         }
-        self.waiting
-            .borrow_mut()
-            .servers
-            .extend_from_slice(&servers);
+        self.queued.borrow_mut().servers.extend_from_slice(&servers);
         let mut suspects = news.suspects.clone();
-        suspects.retain(|item| self.take(item, "instance", now));
-        self.waiting.borrow_mut().suspects.extend(suspects);
-        self.has_news.notify_one();
+        suspects.retain(|item| self.merge(item, "instance", now));
+        self.queued.borrow_mut().suspects.extend(suspects);
+        self.has_queued.notify_one();
         servers
     }
 
-    /// Takes over at `now` what the topic holds. `keeps` says whether this
+    /// Takes over at `now` what the topic holds. `maintains` says whether this
     /// instance keeps the topic tidy.
-    pub fn take_stored(&self, update: SuspectUpdate, keeps: bool, now: Duration) {
+    pub fn apply_update(&self, update: SuspectUpdate, maintains: bool, now: Duration) {
         match update {
-            SuspectUpdate::Whole(records) => {
+            SuspectUpdate::Snapshot(records) => {
                 let listed: BTreeSet<_> = records.iter().map(CrashReport::key).collect();
-                for evidence in records {
-                    self.take_record(SuspectRecord::Crashed(evidence), keeps, now);
+                for report in records {
+                    self.apply_record(SuspectRecord::Crashed(report), maintains, now);
                 }
-                self.book.borrow_mut().keep_stored(&listed);
+                self.crashes.borrow_mut().retain_stored(&listed);
             }
-            SuspectUpdate::Appended(news) => self.take_record(news, keeps, now),
+            SuspectUpdate::Appended(news) => self.apply_record(news, maintains, now),
         }
     }
 
-    fn take_record(&self, record: SuspectRecord, keeps: bool, now: Duration) {
+    fn apply_record(&self, record: SuspectRecord, maintains: bool, now: Duration) {
         let key = record.key();
-        let _new = self.take(&record, "topic", now);
+        let _new = self.merge(&record, "topic", now);
         if let SuspectRecord::Removed(_) = record {
             return;
         }
-        let mut book = self.book.borrow_mut();
-        book.note_stored(&key);
+        let mut crashes = self.crashes.borrow_mut();
+        crashes.note_stored(&key);
         // A late append brought back what had been dropped.
-        let is_late = book.was_dropped(&key);
-        drop(book);
-        if is_late && keeps {
-            self.store(vec![SuspectRecord::Removed(key)]);
+        let is_late = crashes.was_removed(&key);
+        drop(crashes);
+        if is_late && maintains {
+            self.append(vec![SuspectRecord::Removed(key)]);
         }
     }
 
     /// Takes one piece of news over; whether it was new.
-    fn take(&self, news: &SuspectRecord, source: &str, now: Duration) -> bool {
-        let mut book = self.book.borrow_mut();
-        let evidence = match news {
-            SuspectRecord::Removed(key) => return book.drop_end(key),
-            SuspectRecord::Crashed(evidence) => evidence,
+    fn merge(&self, news: &SuspectRecord, source: &str, now: Duration) -> bool {
+        let mut crashes = self.crashes.borrow_mut();
+        let report = match news {
+            SuspectRecord::Removed(key) => return crashes.remove_report(key),
+            SuspectRecord::Crashed(report) => report,
         };
-        if !book.take(evidence.clone(), now) {
+        if !crashes.merge(report.clone(), now) {
             return false;
         }
         event!(
             EventCode::SuspectLearned,
             "print={} server={} known_rounds={} reporter={} source={source} age_ms={}",
-            evidence.fingerprint,
-            evidence.server,
-            evidence.known,
-            evidence.reporter,
-            UnixMillis::now().since(evidence.seen).as_millis()
+            report.fingerprint,
+            report.server,
+            report.known_rounds,
+            report.reporter,
+            UnixMillis::now().since(report.seen).as_millis()
         );
         true
     }
 
     /// Lets time pass: forgets what is old, and appends what whoever saw it did
-    /// not, if this instance `keeps` the topic.
-    pub fn tick(&self, keeps: bool, now: Duration) {
-        let expired = self.book.borrow_mut().expire(UnixMillis::now());
-        gauge!(SUSPECTS).set(self.book.borrow().len() as f64);
+    /// not, if this instance `maintains` the topic.
+    pub fn tick(&self, maintains: bool, now: Duration) {
+        let expired = self.crashes.borrow_mut().expire(UnixMillis::now());
+        gauge!(SUSPECTS).set(self.crashes.borrow().len() as f64);
         if !expired.is_empty() {
             event!(EventCode::SuspectsExpired, "ends={}", expired.len());
         }
-        if !keeps {
+        if !maintains {
             return;
         }
         let mut news: Vec<_> = expired.into_iter().map(SuspectRecord::Removed).collect();
-        let before = now.saturating_sub(STORE_TIME);
-        let missing = self.book.borrow().not_stored(before);
+        let before = now.saturating_sub(APPEND_TAKEOVER_DELAY);
+        let missing = self.crashes.borrow().not_stored(before);
         news.extend(missing.into_iter().map(SuspectRecord::Crashed));
-        self.store(news);
+        self.append(news);
     }
 
     /// Appends `news` to the topic. A full ring loses them: the tick repeats
     /// ends that the topic does not hold, and the next answer drops others.
-    fn store(&self, news: Vec<SuspectRecord>) {
+    fn append(&self, news: Vec<SuspectRecord>) {
         if news.is_empty() {
             return;
         }
@@ -314,31 +313,31 @@
         }
     }
 
-    fn pass_on(&self, news: Vec<SuspectRecord>) {
+    fn enqueue(&self, news: Vec<SuspectRecord>) {
         if news.is_empty() {
             return;
         }
-        self.waiting.borrow_mut().suspects.extend(news);
-        self.has_news.notify_one();
+        self.queued.borrow_mut().suspects.extend(news);
+        self.has_queued.notify_one();
     }
 
     /// The next news for the contacts.
-    fn next_news(&self) -> CrashNotice {
-        let mut waiting = self.waiting.borrow_mut();
+    fn next_notice(&self) -> CrashNotice {
+        let mut queued = self.queued.borrow_mut();
         CrashNotice {
-            servers: take_first(&mut waiting.servers),
-            suspects: take_first(&mut waiting.suspects),
-            draining: take_first(&mut waiting.draining),
+            servers: dequeue(&mut queued.servers),
+            suspects: dequeue(&mut queued.suspects),
+            draining: dequeue(&mut queued.draining),
         }
     }
 }
 
-/// Takes the first news out of `waiting`; surplus ones are lost.
-fn take_first<T>(waiting: &mut Vec<T>) -> Vec<T> {
-    let surplus = waiting.len().saturating_sub(WAITING_LIMIT);
-    waiting.drain(..surplus);
-    let count = waiting.len().min(NEWS_LIMIT);
-    waiting.drain(..count).collect()
+/// Takes the first news out of `queued`; surplus ones are lost.
+fn dequeue<T>(queued: &mut Vec<T>) -> Vec<T> {
+    let surplus = queued.len().saturating_sub(QUEUED_ITEM_LIMIT);
+    queued.drain(..surplus);
+    let count = queued.len().min(NOTICE_ITEM_LIMIT);
+    queued.drain(..count).collect()
 }
 
 impl<D: RequestDialect> TrafficState<D> {
@@ -362,7 +361,7 @@
         for start in &news.draining {
             self.note_draining(start, "instance");
         }
-        let servers = self.suspects.take_news(news, self.now());
+        let servers = self.suspects.merge_notice(news, self.now());
         if !servers.is_empty() {
             self.crash_detector.note_crash();
         }
@@ -383,49 +382,51 @@
 
     /// Whether this instance keeps the topic of suspects tidy.
     pub fn maintains_suspects(&self) -> bool {
-        self.directory.borrow().is_first_for(STORE_SUBJECT)
+        self.directory.borrow().is_first_for(MAINTAINER_SUBJECT)
     }
 }
 
 /// Logs that the request `id` is sent on suspicion, or refused.
 pub fn log_suspect_status(id: &str, fingerprint: &RequestFingerprint, status: &SuspectStatus) {
-    let (code, verdict, case) = match status {
+    let (code, verdict, summary) = match status {
         SuspectStatus::Clear => return,
-        SuspectStatus::Suspect(case) => (EventCode::RequestSuspect, "suspect", case),
-        SuspectStatus::Quarantined(case) => (EventCode::RequestCondemned, "condemned", case),
+        SuspectStatus::Suspect(summary) => (EventCode::RequestSuspect, "suspect", summary),
+        SuspectStatus::Quarantined(summary) => (EventCode::RequestCondemned, "condemned", summary),
     };
     counter!(SUSPECT_REQUESTS, "verdict" => verdict).increment(1);
     let now = UnixMillis::now();
     event!(
         code,
         "request={id} print={fingerprint} servers={} rounds={} newest_server={} reporter={} age_ms={} released_s={}",
-        case.servers,
-        case.rounds,
-        case.newest.server,
-        case.newest.reporter,
-        now.since(case.newest.seen).as_millis(),
-        case.released.map_or(0, |at| at.since(now).as_secs())
+        summary.servers,
+        summary.rounds,
+        summary.newest.server,
+        summary.newest.reporter,
+        now.since(summary.newest.seen).as_millis(),
+        summary
+            .quarantined_until
+            .map_or(0, |at| at.since(now).as_secs())
     );
 }
 
 /// Passes news on over the link for as long as the runtime runs.
 pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     loop {
-        let news = state.suspects.next_news();
+        let news = state.suspects.next_notice();
         if news.is_empty() {
-            state.suspects.has_news.notified().await;
+            state.suspects.has_queued.notified().await;
             continue;
         }
         let contacts = state.directory.borrow().contacts();
         for contact in contacts {
-            tokio::task::spawn_local(tell(Rc::clone(&state), contact, news.clone()));
+            tokio::task::spawn_local(send_notice(Rc::clone(&state), contact, news.clone()));
         }
-        tokio::time::sleep(NEWS_PAUSE).await;
+        tokio::time::sleep(NOTICE_PAUSE).await;
     }
 }
 
 /// Tells one instance, twice if it does not answer.
-async fn tell<D: RequestDialect>(
+async fn send_notice<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
     news: CrashNotice,
@@ -436,7 +437,7 @@
     if peers::tell_endings(&link, contact, &news).await {
         return;
     }
-    tokio::time::sleep(REPEAT_PAUSE).await;
+    tokio::time::sleep(RESEND_PAUSE).await;
     if !peers::tell_endings(&link, contact, &news).await {
         event!(
             EventCode::SuspectsNotTold,
--- a/crates/hibiscus-traffic/tests/availability_table.rs
+++ b/crates/hibiscus-traffic/tests/availability_table.rs
@@ -17,48 +17,39 @@
     }
 }
 
-fn eligibility(availability_table: &mut AvailabilityTable, started: u64) -> ServerEligibility {
-    let said = availability_table.of(&start(started));
+fn eligibility(table: &mut AvailabilityTable, started: u64) -> ServerEligibility {
+    let said = table.get_or_insert(&start(started));
     let said = said.borrow();
     said.eligibility(Instant::now())
 }
 
 #[test]
 fn news_of_a_leaving_process_hold_for_the_entry_that_comes_later() {
-    let mut availability_table = AvailabilityTable::default();
-    assert!(availability_table.note_draining(&start(5)));
-    assert!(!availability_table.note_draining(&start(5)));
-    assert_eq!(
-        eligibility(&mut availability_table, 5),
-        ServerEligibility::Draining
-    );
+    let mut table = AvailabilityTable::default();
+    assert!(table.note_draining(&start(5)));
+    assert!(!table.note_draining(&start(5)));
+    assert_eq!(eligibility(&mut table, 5), ServerEligibility::Draining);
 }
 
 #[test]
 fn late_news_of_a_process_say_nothing_of_the_next_one() {
-    let mut availability_table = AvailabilityTable::default();
-    let _next = availability_table.of(&start(6));
-    assert!(availability_table.note_draining(&start(5)));
-    assert_eq!(
-        eligibility(&mut availability_table, 6),
-        ServerEligibility::Open
-    );
-    availability_table.note_absent(&start(5));
-    assert_eq!(
-        eligibility(&mut availability_table, 6),
-        ServerEligibility::Open
-    );
+    let mut table = AvailabilityTable::default();
+    let _next = table.get_or_insert(&start(6));
+    assert!(table.note_draining(&start(5)));
+    assert_eq!(eligibility(&mut table, 6), ServerEligibility::Open);
+    table.note_entry_removed(&start(5));
+    assert_eq!(eligibility(&mut table, 6), ServerEligibility::Open);
 }
 
 #[test]
 fn what_a_process_said_holds_on_while_its_entry_is_away() {
-    let mut availability_table = AvailabilityTable::default();
-    let said = availability_table.of(&start(5));
+    let mut table = AvailabilityTable::default();
+    let said = table.get_or_insert(&start(5));
     said.borrow_mut()
         .note_refused(Some(Duration::from_secs(60)), Instant::now());
     drop(said);
-    availability_table.note_absent(&start(5));
-    let back = eligibility(&mut availability_table, 5);
+    table.note_entry_removed(&start(5));
+    let back = eligibility(&mut table, 5);
     assert!(
         matches!(back, ServerEligibility::Paused(Some(_))),
         "{back:?}"
@@ -67,23 +58,17 @@
 
 #[test]
 fn processes_without_an_entry_are_forgotten_in_the_end_and_others_are_not() {
-    let mut availability_table = AvailabilityTable::default();
-    let kept = availability_table.of(&start(0));
+    let mut table = AvailabilityTable::default();
+    let kept = table.get_or_insert(&start(0));
     kept.borrow_mut().note_draining();
-    availability_table.note_absent(&start(0));
+    table.note_entry_removed(&start(0));
     for started in 1..MANY {
-        availability_table.note_draining(&start(started));
+        table.note_draining(&start(started));
     }
+    assert_eq!(eligibility(&mut table, 0), ServerEligibility::Draining);
+    assert_eq!(eligibility(&mut table, 1), ServerEligibility::Open);
     assert_eq!(
-        eligibility(&mut availability_table, 0),
-        ServerEligibility::Draining
-    );
-    assert_eq!(
-        eligibility(&mut availability_table, 1),
-        ServerEligibility::Open
-    );
-    assert_eq!(
-        eligibility(&mut availability_table, MANY - 1),
+        eligibility(&mut table, MANY - 1),
         ServerEligibility::Draining
     );
 }
--- a/crates/hibiscus-traffic/tests/server_changes.rs
+++ b/crates/hibiscus-traffic/tests/server_changes.rs
@@ -53,17 +53,17 @@
     let mut offset = 0;
     for round in 0..5 {
         for number in 0..SERVERS {
-            if let Some(change) = book.take(offset, present(number, 1)) {
-                draft.note(offset, change, ms(round));
+            if let Some(change) = book.apply(offset, present(number, 1)) {
+                draft.push(offset, change, ms(round));
             }
             offset += 1;
         }
         if round == 0 {
-            assert_eq!(draft.news(book.position()).len(), 3);
+            assert_eq!(draft.change_sets(book.position()).len(), 3);
             draft.note_published(book.position(), ms(round));
         }
     }
-    let news = draft.news(book.position());
+    let news = draft.change_sets(book.position());
     assert_eq!(news.len(), 1);
     assert!(news[0].changes.is_empty());
     assert_eq!((news[0].from, news[0].upto), (SERVERS, 5 * SERVERS));
@@ -76,12 +76,12 @@
     let mut book = EntryTable::default();
     let mut draft = PendingChanges::new(0, Duration::ZERO);
     for number in 0..SERVERS {
-        let change = book.take(number, present(number, 1)).expect("a change");
-        draft.note(number, change, Duration::ZERO);
+        let change = book.apply(number, present(number, 1)).expect("a change");
+        draft.push(number, change, Duration::ZERO);
     }
     let mut follower = EntryTable::default();
     let mut changes = 0;
-    for part in draft.news(book.position()) {
+    for part in draft.change_sets(book.position()) {
         let bytes = codec::encode(&part).expect("news are encoded");
         assert!(bytes.len() < 262_144, "{} bytes", bytes.len());
         changes += follower.apply_change_set(part).expect("no gap").len();
@@ -118,7 +118,7 @@
     let mut first = PendingChanges::new(0, Duration::ZERO);
     let mut second = first.clone();
     for draft in [&mut first, &mut second] {
-        draft.note(7, gone(1), ms(300));
+        draft.push(7, gone(1), ms(300));
     }
     assert!(first.is_due(0, ms(300)));
     assert!(!second.is_due(1, ms(600)));
@@ -128,8 +128,8 @@
     second.note_published(8, ms(650));
     assert!(!second.is_due(1, ms(700)));
     assert!(second.is_due(1, ms(2_050)));
-    assert!(!server_changes::is_silent(ms(100), ms(1_200)));
-    assert!(server_changes::is_silent(ms(100), ms(1_500)));
+    assert!(!server_changes::is_stale(ms(100), ms(1_200)));
+    assert!(server_changes::is_stale(ms(100), ms(1_500)));
 }
 
 proptest! {
@@ -169,12 +169,12 @@
             let mut next = 0;
             for end in ends {
                 for (offset, change) in &records[next..end.max(next)] {
-                    if let Some(change) = book.take(*offset, change.clone()) {
-                        draft.note(*offset, change, Duration::ZERO);
+                    if let Some(change) = book.apply(*offset, change.clone()) {
+                        draft.push(*offset, change, Duration::ZERO);
                     }
                 }
                 next = end.max(next);
-                published.extend(draft.news(book.position()));
+                published.extend(draft.change_sets(book.position()));
                 draft.note_published(book.position(), Duration::ZERO);
             }
         }
@@ -193,14 +193,14 @@
                 Ok(changes) => changes.into_iter().for_each(&mut apply),
                 Err(gap) => {
                     for (offset, change) in &records[gap.position as usize..] {
-                        follower.take(*offset, change.clone()).into_iter().for_each(&mut apply);
+                        follower.apply(*offset, change.clone()).into_iter().for_each(&mut apply);
                     }
                 }
             }
         }
         let position = follower.position() as usize;
         for (offset, change) in &records[position..] {
-            follower.take(*offset, change.clone()).into_iter().for_each(&mut apply);
+            follower.apply(*offset, change.clone()).into_iter().for_each(&mut apply);
         }
         prop_assert_eq!(known, truth);
     }
--- a/tests/testsuite/front.rs
+++ b/tests/testsuite/front.rs
@@ -27,7 +27,7 @@
 const PREPAID: u64 = 100_000;
 
 /// Time for news to be in force.
-const NEWS_LIMIT: Duration = Duration::from_secs(2);
+const NOTICE_ITEM_LIMIT: Duration = Duration::from_secs(2);
 
 /// Time after which instances that started together know each other.
 const SETTLED: Duration = Duration::from_secs(3);
--- a/tests/testsuite/front/leaving.rs
+++ b/tests/testsuite/front/leaving.rs
@@ -14,7 +14,7 @@
 use platform_standins::StoreFaults;
 use platform_standins::StoreStandin;
 
-use crate::front::NEWS_LIMIT;
+use crate::front::NOTICE_ITEM_LIMIT;
 use crate::front::PREPAID;
 use crate::front::Platform;
 use crate::front::config;
@@ -222,12 +222,12 @@
     assert_eq!(status(&platform.call("/once/x", "id-1", "")), "200");
     assert_eq!(status(&platform.call("/once/x", "id-2", "")), "503");
     write_start(&platform.store, "i-plain", &platform.plain, 9, 5);
-    thread::sleep(NEWS_LIMIT);
+    thread::sleep(NOTICE_ITEM_LIMIT);
     assert_eq!(status(&platform.call("/once/x", "id-3", "")), "503");
     platform.store.write("keyed.servers", "i-plain", b"");
-    thread::sleep(NEWS_LIMIT);
+    thread::sleep(NOTICE_ITEM_LIMIT);
     write_start(&platform.store, "i-plain", &platform.plain, 8, 5);
-    thread::sleep(NEWS_LIMIT);
+    thread::sleep(NOTICE_ITEM_LIMIT);
     assert_eq!(status(&platform.call("/once/x", "id-4", "")), "503");
     platform.plain.set_more_headers("");
     write_start(&platform.store, "i-plain", &platform.plain, 8, 6);
--- a/tests/testsuite/front/lifetime.rs
+++ b/tests/testsuite/front/lifetime.rs
@@ -13,7 +13,7 @@
 use platform_standins::front::FrontPorts;
 use platform_standins::front::exchange;
 
-use crate::front::NEWS_LIMIT;
+use crate::front::NOTICE_ITEM_LIMIT;
 use crate::front::PREPAID;
 use crate::front::Platform;
 use crate::front::config;
@@ -63,7 +63,11 @@
     wait_for("version 2", || {
         status(&platform.call("/new/x", "id-1", "")) == "200"
     });
-    assert!(written.elapsed() < NEWS_LIMIT, "{:?}", written.elapsed());
+    assert!(
+        written.elapsed() < NOTICE_ITEM_LIMIT,
+        "{:?}",
+        written.elapsed()
+    );
     platform.store.forget_history("keyed.op");
     platform
         .store
@@ -92,7 +96,7 @@
         &platform.plain,
         "draining",
     );
-    thread::sleep(NEWS_LIMIT);
+    thread::sleep(NOTICE_ITEM_LIMIT);
     let before = platform.plain.requests().len();
     for number in 0..8 {
         let answer = platform.call("/once/x", &format!("id-{number}"), "");
@@ -100,7 +104,7 @@
     }
     assert_eq!(platform.plain.requests().len(), before);
     platform.store.write("keyed.servers", "i-second", b"");
-    thread::sleep(NEWS_LIMIT);
+    thread::sleep(NOTICE_ITEM_LIMIT);
     assert_eq!(status(&platform.call("/once/x", "id-9", "")), "503");
 }
 
@@ -154,5 +158,9 @@
     other.kill();
     let killed = Instant::now();
     wait_for("its end", || !addresses().contains(&second));
-    assert!(killed.elapsed() < NEWS_LIMIT, "{:?}", killed.elapsed());
+    assert!(
+        killed.elapsed() < NOTICE_ITEM_LIMIT,
+        "{:?}",
+        killed.elapsed()
+    );
 }
