--- a/crates/hibiscus-request/src/fingerprint.rs
+++ b/crates/hibiscus-request/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What is the same about a request that comes again under another number.
+//! Fingerprints that identify a repeated request under different request ids.
 
 use std::fmt;
 
@@ -8,30 +8,30 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Bytes of the digest that are kept.
+/// Bytes of the SHA-256 digest that a fingerprint keeps.
 const DIGEST_BYTES: usize = 16;
 
-/// Digits of a sketch in hexadecimal.
+/// Hexadecimal digits of a coarse fingerprint.
 const SKETCH_DIGITS: usize = 16;
 
-/// Names all requests with the same path, caller and body.
+/// Identifies all requests with the same team, path and body.
 ///
-/// The sketch leaves the body's bytes out, so that most requests are told
-/// apart without reading them. The digest is one that nobody can make collide:
-/// it holds the team, so no team can send what passes for another's request.
+/// Most requests can be told apart by the coarse part without reading their
+/// bodies. The digest is collision-resistant and covers the team, so that no
+/// team can send a request that is taken for another team's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint {
     coarse: CoarseFingerprint,
     digest: [u8; DIGEST_BYTES],
 }
 
-/// The part of a [`RequestFingerprint`] that costs nothing to make.
+/// The part of a [`RequestFingerprint`] that is computed without reading the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CoarseFingerprint(u64);
 
 impl CoarseFingerprint {
-    /// The sketch of a body of `length` bytes that `team` sends to `path`.
+    /// Hashes the team, the path and the body's length in bytes.
     pub fn of(team: &str, path: &str, length: usize) -> Self {
         Self(stable_hash(&[
             team.as_bytes(),
@@ -42,7 +42,7 @@
 }
 
 impl RequestFingerprint {
-    /// The print of `body` that `team` sends to `path`.
+    /// Computes the fingerprint of `body` that `team` sends to `path`.
     pub fn of(team: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [team.as_bytes(), path.as_bytes(), body] {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The print whose sketch and digest `text` holds, one after the other.
+    /// Parses the coarse part followed by the digest, both in hexadecimal.
     pub fn parse(text: &str) -> Option<Self> {
         let (coarse, digest) = text.split_at_checked(SKETCH_DIGITS)?;
         if digest.len() != 2 * DIGEST_BYTES {
@@ -71,20 +71,20 @@
         })
     }
 
-    /// The part without the body's bytes.
+    /// Returns the part that does not depend on the body's bytes.
     pub fn coarse(&self) -> CoarseFingerprint {
         self.coarse
     }
 }
 
-/// The sketch in hexadecimal.
+/// Writes the hash in hexadecimal.
 impl fmt::Display for CoarseFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.0)
     }
 }
 
-/// The digest in hexadecimal.
+/// Writes the digest in hexadecimal, without the coarse part.
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for byte in self.digest {
--- a/crates/hibiscus-request/src/lib.rs
+++ b/crates/hibiscus-request/src/lib.rs
@@ -1,12 +1,13 @@
-//! The life of a request, as types that make a false "not run" impossible.
+//! Request lifecycle, retry budget and detection of requests that crash servers.
 //!
-//! A request moves `Admitted -> Opened -> Dispatched -> Settled`
-//! ([`lifecycle`]). Only the states before [`lifecycle::DispatchedRequest`] can be
-//! turned into [`lifecycle::NotRunProof`], which the answer "not run" needs.
-//! [`window`] refuses keys that the ledger may have forgotten, [`retry`]
-//! bounds the attempts, and [`quarantine`] finds requests that stop servers.
-//! [`fingerprint`] names what is the same about a request that comes again, and
-//! [`suspects`] holds what the fleet knows of servers that ended under it.
+//! [`lifecycle`] models a request as types that move
+//! `Admitted -> Opened -> Dispatched -> Settled`. Only a request that no server
+//! can have started yields the [`lifecycle::NotRunProof`] that a "not run"
+//! response requires. [`window`] checks the age of time-ordered keys and
+//! [`retry`] limits retries. [`fingerprint`] identifies a repeated request by
+//! its team, path and body. [`suspects`] collects the fleet's reports of
+//! servers that crashed while they ran a request; [`quarantine`] is an earlier
+//! design of the same, for `hibiscus-router`.
 
 pub mod fingerprint;
 pub mod lifecycle;
--- a/crates/hibiscus-request/src/lifecycle.rs
+++ b/crates/hibiscus-request/src/lifecycle.rs
@@ -1,17 +1,17 @@
-//! States of one request.
+//! States of one request, from admission to its response.
 
 use hibiscus_types::GrantId;
 use hibiscus_types::RequestKey;
 use hibiscus_types::ServerName;
 use hibiscus_types::TokenCount;
 
-/// A request that passed its checks and has no allowance yet.
+/// A request that passed its checks and has no token grant yet.
 #[derive(Debug)]
 pub struct AdmittedRequest {
     key: RequestKey,
 }
 
-/// A request whose open was acknowledged.
+/// A request whose open record was acknowledged.
 #[derive(Debug)]
 pub struct OpenedRequest {
     key: RequestKey,
@@ -27,7 +27,7 @@
     server: ServerName,
 }
 
-/// A request that a server may have run and that has no whole answer.
+/// A request that a server may have run and that has no complete response.
 #[derive(Debug)]
 pub struct FailedRequest {
     opened: OpenedRequest,
@@ -40,28 +40,28 @@
     }
 }
 
-/// Status by which an engine refuses a request that it has not begun: too
-/// many requests.
+/// Status with which an engine refuses a request before it starts: too many
+/// requests.
 const STATUS_TOO_MANY: u16 = 429;
-/// Status by which an engine refuses a request that it has not begun: not
-/// available.
+/// Status with which an engine refuses a request before it starts: service
+/// unavailable.
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// Evidence that an attempt ran nothing.
+/// Evidence that an attempt ran no part of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotBegunEvidence {
     status: Option<u16>,
 }
 
 impl NotBegunEvidence {
-    /// The server refused the connection, or none was made in time: it
-    /// received no byte.
+    /// The server refused the connection, or none was established in time, so
+    /// it received no byte.
     pub fn connection_refused() -> Self {
         Self { status: None }
     }
 
-    /// A model engine answered `status`. Only the statuses by which an engine
-    /// refuses before it begins are evidence.
+    /// Returns evidence if a model engine responded with a `status` that it
+    /// uses only before it starts a request.
     pub fn engine_refused(status: u16) -> Option<Self> {
         let refused = matches!(status, STATUS_TOO_MANY | STATUS_UNAVAILABLE);
         refused.then_some(Self {
@@ -69,7 +69,7 @@
         })
     }
 
-    /// The status by which the engine refused, if it was reached.
+    /// The engine's refusal status, or `None` if the engine was not reached.
     pub fn status(self) -> Option<u16> {
         self.status
     }
@@ -92,7 +92,8 @@
         &self.key
     }
 
-    /// The open of the request was acknowledged under `grant`.
+    /// Marks the request as opened under `grant` once its open record is
+    /// acknowledged.
     pub fn opened(self, grant: GrantId, reserved: TokenCount, attempt: u32) -> OpenedRequest {
         OpenedRequest {
             key: self.key,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Gives the request up before anything was sent.
+    /// Refuses the request before anything was sent.
     pub fn refuse(self) -> NotRunProof {
         NotRunProof { key: self.key }
     }
@@ -114,22 +115,22 @@
         &self.key
     }
 
-    /// The grant that pays.
+    /// The grant that pays for the request.
     pub fn grant(&self) -> GrantId {
         self.grant
     }
 
-    /// Tokens set aside.
+    /// Tokens reserved for the request.
     pub fn reserved(&self) -> TokenCount {
         self.reserved
     }
 
-    /// The attempt that was opened.
+    /// Number of the attempt that was opened.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// The request is about to be sent to `server`.
+    /// Marks the request as about to be sent to `server`.
     pub fn dispatch(self, server: ServerName) -> DispatchedRequest {
         DispatchedRequest {
             opened: self,
@@ -137,30 +138,30 @@
         }
     }
 
-    /// Gives the request up before anything was sent.
+    /// Refuses the request before anything was sent.
     pub fn refuse(self) -> NotRunProof {
         NotRunProof { key: self.key }
     }
 }
 
 impl DispatchedRequest {
-    /// The opened request.
+    /// The request as it was before it was dispatched.
     pub fn opened(&self) -> &OpenedRequest {
         &self.opened
     }
 
-    /// The server that it was sent to.
+    /// The server that the request was sent to.
     pub fn server(&self) -> &ServerName {
         &self.server
     }
 
-    /// The attempt ran nothing: the request is as it was before it.
+    /// Returns the request to its state before an attempt that ran nothing.
     pub fn not_begun(self, _evidence: NotBegunEvidence) -> OpenedRequest {
         self.opened
     }
 
-    /// The attempt failed after the server may have begun. The request can be
-    /// sent again, if it is idempotent, but it can no longer end as not run.
+    /// Marks an attempt as failed after the server may have started it. An
+    /// idempotent request can be sent again, but no longer end as not run.
     pub fn failed(self) -> FailedRequest {
         FailedRequest {
             opened: self.opened,
--- a/crates/hibiscus-request/src/quarantine.rs
+++ b/crates/hibiscus-request/src/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests that stop the servers that run them.
+//! Detects requests that crash the servers that run them.
 //!
-//! A server that stops takes every request on it along, so one death proves
-//! nothing about one request. A request seen at a death is a suspect and runs
-//! alone from then on; one whose server stops again while it runs alone is
-//! quarantined. Deaths count by the body's fingerprint, since callers send
-//! the same request again under new keys, and by team, so that no team can
-//! condemn another's request.
+//! A crashing server takes every request on it down, so one crash proves
+//! nothing about one request. A request that was on a crashed server is a
+//! suspect and runs alone on its server from then on; if a server crashes
+//! while it runs alone, the request is quarantined. Crashes are counted by a
+//! fingerprint of the body, since callers resend a request under new keys, and
+//! of the team, so that no team can quarantine another team's request.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,20 +18,20 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Time after which a death is forgotten.
+/// Time after which a crash is forgotten.
 pub const CRASH_LIFETIME: Duration = Duration::from_secs(3_600);
-/// Distinct servers that a quarantined request has stopped.
+/// Distinct servers that a request must have crashed to be quarantined.
 const SERVERS_TO_QUARANTINE: usize = 2;
-/// Suspects kept at most; the ones seen longest ago go first.
+/// Maximum number of suspects; the least recently seen are evicted first.
 const SUSPECT_LIMIT: usize = 10_000;
 
-/// What a request does, whatever key it is sent under.
+/// Identifies a request by its team, path and body, regardless of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BodyFingerprint(u64);
 
 impl BodyFingerprint {
-    /// The fingerprint of `body` sent to `path` by `team`.
+    /// Computes the fingerprint of `body` that `team` sends to `path`.
     pub fn of(team: &TeamName, path: &str, body: &[u8]) -> Self {
         Self(stable_hash(&[
             team.as_str().as_bytes(),
@@ -40,37 +40,37 @@
         ]))
     }
 
-    /// The fingerprint as a number.
+    /// Returns the hash.
     pub fn get(self) -> u64 {
         self.0
     }
 }
 
-/// A server that stopped while it ran a request.
+/// A server that crashed while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerCrash {
-    /// The request.
+    /// The request that the server ran.
     pub fingerprint: BodyFingerprint,
-    /// The server.
+    /// The server that crashed.
     pub server: ServerName,
-    /// Whether the reporting router had nothing else on the server.
+    /// Whether the reporting router had no other request on the server.
     pub alone: bool,
-    /// When it was seen.
+    /// Time at which the crash was seen.
     pub seen: UnixMillis,
 }
 
-/// How a request may run.
+/// Restriction on how a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestSuspicion {
-    /// Beside others.
+    /// The request may share a server with others.
     Clear,
-    /// Alone on its server.
+    /// The request must run alone on its server.
     Suspect,
-    /// Not at all.
+    /// The request must not run.
     Quarantined,
 }
 
-/// Deaths at which one request was seen.
+/// Crashes that one request was involved in.
 #[derive(Clone, Debug)]
 struct SuspectState {
     servers: BTreeSet<ServerName>,
@@ -85,7 +85,7 @@
 }
 
 impl SuspectTable {
-    /// Takes a death over. A repeat changes nothing.
+    /// Records a crash. Recording it again changes nothing.
     pub fn record(&mut self, crash: &ServerCrash) {
         let state = self
             .suspects
@@ -101,7 +101,7 @@
         self.drop_oldest();
     }
 
-    /// How the request may run at the time `now`.
+    /// Returns how the request may run at the time `now`.
     pub fn suspicion(&self, fingerprint: BodyFingerprint, now: UnixMillis) -> RequestSuspicion {
         let Some(state) = self.suspects.get(&fingerprint) else {
             return RequestSuspicion::Clear;
@@ -115,7 +115,7 @@
         RequestSuspicion::Suspect
     }
 
-    /// The request ended whole: what it was seen at was not its doing.
+    /// Clears a request that completed: it did not cause the crashes.
     pub fn clear(&mut self, fingerprint: BodyFingerprint) {
         self.suspects.remove(&fingerprint);
     }
--- a/crates/hibiscus-request/src/suspects.rs
+++ b/crates/hibiscus-request/src/suspects.rs
@@ -1,16 +1,18 @@
-//! Requests under which servers ended, as the whole fleet knows them.
+//! Requests that were running when servers crashed, as known to the fleet.
 //!
-//! A server that ends takes every request on it along, so one end proves
-//! nothing about one request. What counts are ends one after the other: a
-//! server that ended although its sender knew of earlier ends adds a round
-//! ([`CrashReport::known_rounds`]), while all servers that end at the same moment are
-//! one. An answer proves that the request ends no servers, and clears it. So a
-//! request that many callers send is cleared by the first that is answered,
-//! however many servers end with it.
+//! A crashing server takes every request on it down, so one crash proves
+//! nothing about one request. What counts are crashes in sequence: when a
+//! request's sender already knew of earlier crashes and the next server crashes
+//! too, that adds a round ([`CrashReport::known_rounds`]), while all servers that
+//! crash at the same moment make one round. A response proves that the request
+//! does not crash servers, and clears it. So a request that many callers send is
+//! cleared by the first one that gets a response, however many servers crash
+//! with it.
 //!
-//! Evidence is a set that instances merge in any order: a repeat changes
-//! nothing, and what was dropped stays dropped. It names the caller by way of
-//! its [`RequestFingerprint`], so no team can condemn another's request.
+//! Reports form a set that instances merge in any order: a repeated report
+//! changes nothing, and a removed report stays removed. The
+//! [`RequestFingerprint`] covers the team, so that no team can quarantine
+//! another team's request.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,34 +31,37 @@
 use crate::fingerprint::CoarseFingerprint;
 use crate::fingerprint::RequestFingerprint;
 
-/// Rounds after which a request is condemned.
+/// Rounds of crashes after which a request is quarantined.
 const ROUNDS_TO_QUARANTINE: usize = 3;
-/// The same when no server ended without the request meanwhile.
+/// Rounds after which a request is quarantined if no server crashed without the
+/// request shortly before.
 const ISOLATED_ROUNDS_TO_QUARANTINE: usize = 2;
-/// Time within which the end of a server without the request speaks for it.
+/// Time for which the crash of a server that did not run the request counts in
+/// the request's favour.
 const ISOLATION_WINDOW: Duration = Duration::from_secs(10);
-/// Time for which a request is condemned the first time. Each end after that
+/// Time for which a request is quarantined the first time. Each further round
 /// doubles it.
 const FIRST_QUARANTINE_TIME: Duration = Duration::from_secs(3_600);
-/// Time after its last end at which a request is forgotten, and the longest
-/// for which it is condemned.
+/// Time after its last crash at which a request is forgotten, and the longest
+/// quarantine.
 const CRASH_REPORT_LIFETIME: Duration = Duration::from_secs(24 * 3_600);
-/// Requests kept at most; those with the fewest rounds go first.
+/// Maximum number of requests; those with the fewest rounds are evicted first.
 pub const SUSPECT_LIMIT: usize = 4_096;
-/// Ends kept of one request: more prove nothing more.
+/// Crash reports kept for one request; further reports prove nothing more.
 const REPORTS_PER_REQUEST_LIMIT: usize = 16;
-/// Removed ends that are remembered, so that late copies change nothing.
+/// Keys of removed reports that are remembered, so that late copies of a report
+/// do not restore it.
 const REMOVED_KEY_LIMIT: usize = 4_096;
-/// Ends of servers that are remembered for [`ISOLATION_WINDOW`].
+/// Server crashes that are remembered for [`ISOLATION_WINDOW`].
 const RECENT_CRASH_LIMIT: usize = 4_096;
 
-/// Names one process of a server.
+/// Identifies one process of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServerProcess(u64);
 
 impl ServerProcess {
-    /// The process of `server` that began at `started`.
+    /// Identifies the process of `server` that started at `started`.
     pub fn of(server: &ServerName, started: u64) -> Self {
         Self(stable_hash(&[
             server.as_str().as_bytes(),
@@ -65,17 +70,17 @@
     }
 }
 
-/// Names the end of one server under one request.
+/// Identifies the crash of one server process while it ran one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CrashKey {
-    /// The request.
+    /// The request that was running.
     pub fingerprint: RequestFingerprint,
-    /// The server.
+    /// The server process that crashed.
     pub process: ServerProcess,
 }
 
 impl CrashKey {
-    /// The key that [`fmt::Display`] wrote as `text`.
+    /// Parses the text that [`fmt::Display`] writes.
     pub fn parse(text: &str) -> Option<Self> {
         let (fingerprint, process) = text.split_once('/')?;
         Some(Self {
@@ -87,37 +92,37 @@
 
 impl fmt::Display for CrashKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let coarse = self.fingerprint.coarse();
+        let sketch = self.fingerprint.coarse();
         write!(
             formatter,
-            "{coarse}{}/{:016x}",
+            "{sketch}{}/{:016x}",
             self.fingerprint, self.process.0
         )
     }
 }
 
-/// A server that ended under a request.
+/// Reports that a server crashed while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request.
+    /// The request that was running.
     pub fingerprint: RequestFingerprint,
-    /// The server.
+    /// The server that crashed.
     pub server: ServerName,
-    /// When the server had begun, in its own time.
+    /// Start time of the server process, on the server's own clock.
     pub started: u64,
-    /// Rounds that the sender knew of when it sent the request.
+    /// Rounds of crashes that the sender knew of when it sent the request.
     pub known_rounds: u8,
-    /// Whether the reporter knew of no server that ended without the request
+    /// Whether the reporter knew of no server that crashed without the request
     /// shortly before.
     pub isolated: bool,
-    /// The instance that sent the request and saw the server end.
+    /// The instance that sent the request and detected the crash.
     pub reporter: InstanceName,
-    /// When it saw that.
+    /// Time at which the reporter detected the crash.
     pub seen: UnixMillis,
 }
 
 impl CrashReport {
-    /// What names the end.
+    /// The key of the crash.
     pub fn key(&self) -> CrashKey {
         CrashKey {
             fingerprint: self.fingerprint,
@@ -126,17 +131,17 @@
     }
 }
 
-/// News of a request under which servers ended.
+/// Change to the reported crashes, as instances exchange and store it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectRecord {
-    /// A server ended under it.
+    /// A server crashed while it ran a request.
     Crashed(CrashReport),
-    /// An end proves nothing any more.
+    /// The crash report no longer counts.
     Removed(CrashKey),
 }
 
 impl SuspectRecord {
-    /// The end that it is about.
+    /// The key of the crash that the record concerns.
     pub fn key(&self) -> CrashKey {
         match self {
             Self::Crashed(report) => report.key(),
@@ -145,32 +150,32 @@
     }
 }
 
-/// What is known against a request.
+/// The crash reports of one request, summarized.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashSummary {
-    /// Servers that ended under it.
+    /// Number of servers that crashed while they ran the request.
     pub servers: usize,
-    /// Rounds of ends one after the other.
+    /// Number of rounds of crashes.
     pub rounds: u8,
-    /// The newest of the ends.
+    /// The newest crash report.
     pub newest: CrashReport,
-    /// When it may be sent again; `None` when it may now.
+    /// End of the request's quarantine; `None` when it is not quarantined.
     pub quarantined_until: Option<UnixMillis>,
 }
 
-/// The ends of one request.
+/// The crash reports of one request.
 #[derive(Clone, Debug, Default)]
 struct SuspectState {
     crashes: BTreeMap<ServerProcess, HeldReport>,
 }
 
-/// An end and how far it has come.
+/// A crash report and where it is stored.
 #[derive(Clone, Debug)]
 struct HeldReport {
     report: CrashReport,
-    /// Whether the fleet's topic held it.
+    /// Whether the fleet's topic has held the report.
     stored: bool,
-    /// When it came here, on the steady clock.
+    /// Time of the steady clock at which the report was received.
     received_at: Duration,
 }
 
@@ -188,7 +193,7 @@
         crashes.max_by_key(|report| report.seen)
     }
 
-    /// Rounds after which the request is condemned.
+    /// Rounds after which this request is quarantined.
     fn rounds_to_quarantine(&self) -> usize {
         let mut crashes = self.crashes.values().map(|held| &held.report);
         if crashes.any(|report| report.isolated && report.known_rounds > 0) {
@@ -198,7 +203,7 @@
         }
     }
 
-    /// Until when the request is condemned.
+    /// End of the request's quarantine, which may have passed.
     fn quarantined_until(&self) -> Option<UnixMillis> {
         let beyond = self.rounds().checked_sub(self.rounds_to_quarantine())?;
         let doublings = u32::try_from(beyond.min(REPORTS_PER_REQUEST_LIMIT)).unwrap_or_default();
@@ -207,18 +212,18 @@
     }
 }
 
-/// The requests under which servers ended.
+/// Crash reports, indexed by request.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     suspects: BTreeMap<RequestFingerprint, SuspectState>,
-    /// Requests of each sketch.
-    sketches: HashMap<CoarseFingerprint, usize>,
+    /// Number of requests with each coarse fingerprint.
+    coarse_counts: HashMap<CoarseFingerprint, usize>,
     removed: BTreeSet<CrashKey>,
-    /// The dropped ends, oldest first.
+    /// Keys of removed reports, oldest first.
     removed_order: VecDeque<CrashKey>,
-    /// Servers that ended, and when.
+    /// Server processes that crashed, with the time at which that was learned.
     recent: HashMap<ServerProcess, Duration>,
-    /// Ends that had no room any more.
+    /// Keys of reports that were evicted since the last [`Self::expire`].
     evicted: Vec<CrashKey>,
 }
 
@@ -228,17 +233,17 @@
         self.suspects.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no requests.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Whether a request with `coarse` may be among them.
+    /// Whether the table may contain a request with this coarse fingerprint.
     pub fn may_contain(&self, coarse: CoarseFingerprint) -> bool {
-        self.sketches.contains_key(&coarse)
+        self.coarse_counts.contains_key(&coarse)
     }
 
-    /// What is known against the request at the time `now`.
+    /// Summarizes the reports on the request at the time `now`.
     pub fn summary(
         &self,
         fingerprint: &RequestFingerprint,
@@ -255,7 +260,8 @@
         })
     }
 
-    /// A server ended at `now`, whatever was on it; false when that was known.
+    /// Records that a server process crashed, whatever it ran. Returns false if
+    /// the crash was already known.
     pub fn note_crash(&mut self, process: ServerProcess, now: Duration) -> bool {
         if self.recent.contains_key(&process) {
             return false;
@@ -270,8 +276,8 @@
         true
     }
 
-    /// Whether no server ended without the request shortly before `now`, other
-    /// than `process`.
+    /// Whether no process other than `process` crashed without the request
+    /// shortly before `now`.
     pub fn is_isolated(
         &self,
         fingerprint: &RequestFingerprint,
@@ -286,7 +292,8 @@
         })
     }
 
-    /// Takes evidence over that came at `now`; false when it says nothing new.
+    /// Adds a report that was received at `now`. Returns false if it was already
+    /// known, was removed, or exceeds the limit of the request.
     pub fn merge(&mut self, report: CrashReport, now: Duration) -> bool {
         let key = report.key();
         if self.removed.contains(&key) {
@@ -307,13 +314,16 @@
         };
         state.crashes.insert(key.process, held);
         if is_new {
-            *self.sketches.entry(key.fingerprint.coarse()).or_default() += 1;
+            *self
+                .coarse_counts
+                .entry(key.fingerprint.coarse())
+                .or_default() += 1;
             self.evict_weakest(&key.fingerprint);
         }
         true
     }
 
-    /// The fleet's topic holds the end.
+    /// Marks a report as held by the fleet's topic.
     pub fn note_stored(&mut self, key: &CrashKey) {
         let state = self.suspects.get_mut(&key.fingerprint);
         if let Some(held) = state.and_then(|state| state.crashes.get_mut(&key.process)) {
@@ -321,12 +331,12 @@
         }
     }
 
-    /// Whether the end was dropped lately.
+    /// Whether the report was removed and its key is still remembered.
     pub fn was_removed(&self, key: &CrashKey) -> bool {
         self.removed.contains(key)
     }
 
-    /// Drops an end for good; false when it was not known.
+    /// Removes a report permanently. Returns false if it was not present.
     pub fn remove_report(&mut self, key: &CrashKey) -> bool {
         self.note_removed(*key);
         let Some(state) = self.suspects.get_mut(&key.fingerprint) else {
@@ -339,7 +349,7 @@
         known_rounds
     }
 
-    /// The request was answered: drops its ends, and returns them.
+    /// Removes all reports on a request that got a response; returns their keys.
     pub fn clear(&mut self, fingerprint: &RequestFingerprint) -> Vec<CrashKey> {
         let keys = self.keys_of(fingerprint);
         for key in &keys {
@@ -349,8 +359,8 @@
         keys
     }
 
-    /// Drops requests whose last end is long ago at `now`, and returns the ends
-    /// that went, with those that had no room.
+    /// Removes requests whose last crash is too old at `now`. Returns the keys of
+    /// the removed reports and of those that were evicted before.
     pub fn expire(&mut self, now: UnixMillis) -> Vec<CrashKey> {
         let mut old = Vec::new();
         for (fingerprint, state) in &self.suspects {
@@ -366,8 +376,8 @@
         gone
     }
 
-    /// Takes over which ends the fleet's topic holds, after a gap in reading
-    /// it: those that it held before and does not now are dropped.
+    /// Removes the reports that the fleet's topic held before but does not list
+    /// now, after a gap in reading the topic.
     pub fn retain_stored(&mut self, listed: &BTreeSet<CrashKey>) {
         let mut gone = Vec::new();
         for state in self.suspects.values() {
@@ -383,8 +393,8 @@
         }
     }
 
-    /// Evidence that came before `before` and that the fleet's topic does not
-    /// hold.
+    /// Reports that were received before `before` and that the fleet's topic does
+    /// not hold.
     pub fn not_stored(&self, before: Duration) -> Vec<CrashReport> {
         let mut missing = Vec::new();
         for state in self.suspects.values() {
@@ -424,15 +434,16 @@
             return;
         }
         let coarse = fingerprint.coarse();
-        if let Some(count) = self.sketches.get_mut(&coarse) {
+        if let Some(count) = self.coarse_counts.get_mut(&coarse) {
             *count -= 1;
             if *count == 0 {
-                self.sketches.remove(&coarse);
+                self.coarse_counts.remove(&coarse);
             }
         }
     }
 
-    /// Drops the requests that prove least, but not `newest`.
+    /// Evicts the request with the fewest rounds, but not `newest`, when the
+    /// table is full.
     fn evict_weakest(&mut self, newest: &RequestFingerprint) {
         if self.suspects.len() <= SUSPECT_LIMIT {
             return;
--- a/crates/hibiscus-request/src/window.rs
+++ b/crates/hibiscus-request/src/window.rs
@@ -1,27 +1,27 @@
-//! Age of a time-ordered key.
+//! Checks the age of time-ordered request keys.
 
 use std::time::Duration;
 
 use hibiscus_types::UnixMillis;
 
-/// Age up to which the ledger keeps a key.
+/// Age up to which the ledger remembers a key.
 pub const KEY_WINDOW: Duration = Duration::from_secs(24 * 3_600);
-/// How far a caller's clock may run ahead.
+/// Maximum time by which a caller's clock may be ahead.
 const MAX_CLOCK_LEAD: Duration = Duration::from_secs(3_600);
 
-/// Where a key lies in time.
+/// Age of a key relative to the ledger's window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyAge {
-    /// It may be used. Keys that carry no time are here too.
+    /// The key may be used. Keys without a timestamp are always valid.
     Valid,
-    /// It is older than the window.
+    /// The key is older than [`KEY_WINDOW`], so the ledger may have forgotten it.
     Expired,
-    /// It is further in the future than clocks may differ.
+    /// The key is further in the future than clocks may differ.
     InFuture,
 }
 
-/// Places `key` at the time `now`. Only a UUID of version 7 carries a time:
-/// its first 48 bits are Unix milliseconds.
+/// Checks the age of `key` at the time `now`. Only a UUID of version 7 has a
+/// timestamp: its first 48 bits are Unix milliseconds.
 pub fn check_key_age(key: &str, now: UnixMillis) -> KeyAge {
     let Some(stamped) = key_time(key) else {
         return KeyAge::Valid;
@@ -35,7 +35,7 @@
     KeyAge::Valid
 }
 
-/// The time that a UUID of version 7 carries.
+/// Returns the timestamp of a UUID of version 7.
 fn key_time(key: &str) -> Option<UnixMillis> {
     let groups: Vec<&str> = key.split('-').collect();
     let [high, low, version, variant, node] = groups.as_slice() else {
--- a/crates/hibiscus-request/tests/suspects.rs
+++ b/crates/hibiscus-request/tests/suspects.rs
@@ -55,19 +55,19 @@
 
 #[test]
 fn two_rounds_condemn_when_no_other_server_ended_and_three_do_otherwise() {
-    for (isolated, rounds) in [(true, 2), (false, 3)] {
+    for (alone, rounds) in [(true, 2), (false, 3)] {
         let mut table = CrashTable::default();
         for known_rounds in 0..rounds {
             assert!(
                 !is_quarantined(&table, "a", at(3)),
-                "{isolated} {known_rounds}"
+                "{alone} {known_rounds}"
             );
             table.merge(
-                crash("a", u64::from(known_rounds), known_rounds, isolated),
+                crash("a", u64::from(known_rounds), known_rounds, alone),
                 Duration::ZERO,
             );
         }
-        assert!(is_quarantined(&table, "a", at(3)), "{isolated}");
+        assert!(is_quarantined(&table, "a", at(3)), "{alone}");
     }
 }
 
--- a/crates/hibiscus-routing/src/affinity.rs
+++ b/crates/hibiscus-routing/src/affinity.rs
@@ -1,43 +1,43 @@
-//! What one process believes of the servers' prefix caches.
+//! Estimates which prompt prefixes a server's cache holds.
 //!
-//! Servers publish late, and some events are lost. A gap in the sequence
-//! numbers of a server's events means that unknown prefixes may have been
-//! evicted, so the belief in all that is known of it shrinks.
+//! Servers publish cache events late, and some events are lost. A gap in the
+//! sequence numbers of a server's events means that unknown prefixes may have
+//! been evicted, so the probabilities of all its prefixes decay.
 
 use std::collections::BTreeMap;
 
-/// Belief after the server said that it holds the prefix.
+/// Probability after the server published that it stored the prefix.
 const STORED_PROBABILITY: f64 = 1.0;
-/// Belief after this process sent a request with the prefix there.
+/// Probability after this process sent the server a request with the prefix.
 const SENT_PROBABILITY: f64 = 0.8;
-/// Factor of all beliefs for each lost event.
+/// Factor applied to all probabilities for each lost event.
 const LOST_EVENT_FACTOR: f64 = 0.9;
-/// Belief below which a prefix is forgotten.
+/// Probability below which a prefix is forgotten.
 const MIN_PROBABILITY: f64 = 0.1;
-/// Prefixes known of one server at most.
+/// Maximum number of prefixes per server.
 const PREFIX_LIMIT: usize = 4_096;
 
-/// What a server published of its cache.
+/// Change to a server's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The prefix is held.
+    /// The server stored the prefix.
     Stored,
-    /// The prefix was evicted.
+    /// The server evicted the prefix.
     Evicted,
 }
 
-/// One cache event of a server.
+/// Cache event that a server published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Grows by one an event.
+    /// Sequence number, which grows by one with each event of the server.
     pub sequence: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// What happened to it.
+    /// What happened to the prefix.
     pub change: CacheChange,
 }
 
-/// Beliefs about one server's cache.
+/// Estimated contents of one server's prefix cache.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixEstimate {
     next_sequence: u64,
@@ -45,7 +45,7 @@
 }
 
 impl PrefixEstimate {
-    /// Takes an event over. One that was taken before changes nothing.
+    /// Applies a cache event. An event that was applied before changes nothing.
     pub fn apply(&mut self, event: &CacheEvent) {
         if event.sequence < self.next_sequence {
             return;
@@ -63,13 +63,13 @@
         }
     }
 
-    /// This process sent a request with `prefix` there.
+    /// Records that this process sent the server a request with `prefix`.
     pub fn note_sent(&mut self, prefix: u64) {
         let probability = self.probability(prefix).max(SENT_PROBABILITY);
         self.insert(prefix, probability);
     }
 
-    /// Belief that the server holds `prefix`, 0 to 1.
+    /// Probability that the server holds `prefix`, from 0 to 1.
     pub fn probability(&self, prefix: u64) -> f64 {
         self.probabilities.get(&prefix).copied().unwrap_or(0.0)
     }
--- a/crates/hibiscus-routing/src/availability.rs
+++ b/crates/hibiscus-routing/src/availability.rs
@@ -1,63 +1,64 @@
-//! What one process of a server has said of new requests.
+//! Whether one process of a server accepts new requests.
 //!
-//! A server that leaves takes none any more. One that refuses a request may
-//! name a time for which it wants none: until then nothing is sent. One that
-//! refuses without a time is avoided while others are there, for a time that
-//! grows with each refusal. After either time a few requests try the server,
-//! and more with each that it takes, so that not all who waited come at once.
+//! A draining server accepts no more requests. A server that refuses a request
+//! may name a pause, and nothing is sent to it until the pause ends. A server
+//! that refuses without a pause is avoided while other servers are available,
+//! for a time that grows with each refusal. After a pause or an avoidance a few
+//! trial requests are sent to the server, and more as it accepts them, so that
+//! not all waiting requests arrive at once.
 //!
-//! Time is an argument, so a clock that was frozen or runs late changes
-//! nothing but when the next request is sent.
+//! The time is an argument. A clock that was frozen or runs late only changes
+//! when the next request is sent.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time for which a server is avoided after its first refusal: what waits at
-/// a full one is less work than that.
+/// Time for which a server is avoided after its first refusal. A full server
+/// has less work than that queued.
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(100);
-/// Longest time for which a server that refuses without a time is avoided.
+/// Maximum time for which a server that refuses without a pause is avoided.
 const MAX_AVOIDANCE: Duration = Duration::from_secs(2);
-/// Doublings after which that time grows no more.
+/// Doublings after which the avoidance time grows no more.
 const MAX_DOUBLINGS: u32 = 5;
-/// Requests that may try a server at the same time before one was taken.
+/// Trial requests allowed at the same time before the server accepted one.
 const FIRST_TRIAL_LIMIT: u32 = 1;
-/// Trials at the same time from which on the server is used as before.
+/// Largest limit on trial requests; above it the server is used normally.
 const MAX_TRIAL_LIMIT: u32 = 8;
-/// Time after which a caller may ask again when all trials are under way.
+/// Time after which a caller may retry when all trial requests are in progress.
 const TRIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Whether a new request may go to a server.
+/// Whether a new request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerEligibility {
-    /// It may.
+    /// The request may be sent.
     Open,
-    /// It refused lately: only when no other server can be used.
+    /// The server refused recently: use it only if no other server is usable.
     LastResort,
-    /// Not before the time; without one, as long as this process lives.
+    /// Nothing may be sent before the given time; `None` while the process lives.
     Paused(Option<Instant>),
-    /// It leaves: never.
+    /// The server is draining and never gets another request.
     Draining,
 }
 
-/// What a refusal keeps away from a server.
+/// Pause or avoidance that follows a refusal.
 #[derive(Clone, Copy, Debug)]
 struct RequestPause {
-    /// `None` when it has no end.
+    /// End of the pause; `None` if it never ends.
     until: Option<Instant>,
-    /// Whether the server named the time.
+    /// Whether the server requested the pause, rather than refused without one.
     requested: bool,
-    /// Requests that may try the server at the same time afterwards.
+    /// Trial requests allowed at the same time after the pause.
     trial_limit: u32,
-    /// Those that do.
+    /// Trial requests in progress.
     trials_in_progress: u32,
 }
 
-/// What one process of a server has said of new requests.
+/// What is known of one server process's acceptance of new requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerAvailability {
     draining: bool,
     pause: Option<RequestPause>,
-    /// Refusals in a row.
+    /// Consecutive refusals.
     refusals: u32,
 }
 
@@ -87,24 +88,24 @@
         }))
     }
 
-    /// Whether the server leaves.
+    /// Whether the server is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether the server named a time for which it wants nothing, and none of
-    /// the requests after it was taken yet.
+    /// Whether the server requested a pause and has not yet accepted enough
+    /// trial requests after it.
     pub fn is_paused(&self) -> bool {
         self.pause.is_some_and(|pause| pause.requested)
     }
 
-    /// Notes that the server leaves; whether that is new.
+    /// Marks the server as draining; returns whether that is new.
     pub fn note_draining(&mut self) -> bool {
         !std::mem::replace(&mut self.draining, true)
     }
 
-    /// Counts a request that is sent at `now`; whether it tries a server that
-    /// refused before.
+    /// Counts a request sent at `now`; returns whether it is a trial request
+    /// after a refusal.
     pub fn note_sent(&mut self, now: Instant) -> bool {
         let Some(pause) = &mut self.pause else {
             return false;
@@ -116,8 +117,8 @@
         true
     }
 
-    /// Whether a request that was counted, but has not left yet, may still be
-    /// sent at `now`; `trial` is what [`Self::note_sent`] said of it.
+    /// Whether a request that was counted but not yet sent may still be sent at
+    /// `now`; `trial` is what [`Self::note_sent`] returned for it.
     pub fn still_accepts(&self, trial: bool, now: Instant) -> bool {
         if self.draining {
             return false;
@@ -128,8 +129,8 @@
         trial && pause.until.is_some_and(|until| now >= until)
     }
 
-    /// The server took a request; `trial` is what [`Self::note_sent`] said of
-    /// it. One that was sent before a refusal shows nothing.
+    /// Records that the server accepted a request; `trial` is what
+    /// [`Self::note_sent`] returned. A request sent before a refusal proves nothing.
     pub fn note_accepted(&mut self, trial: bool) {
         let Some(pause) = &mut self.pause else {
             self.refusals = 0;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// A request ended without the server's word.
+    /// Records that a request ended without a response from the server.
     pub fn note_unanswered(&mut self, trial: bool) {
         if let Some(pause) = &mut self.pause
             && trial
@@ -155,11 +156,12 @@
         }
     }
 
-    /// The server refused a request at `now`, and wants none for `requested`.
+    /// Records that the server refused a request at `now` and requested a pause,
+    /// if any.
     pub fn note_refused(&mut self, requested: Option<Duration>, now: Instant) {
         let known = self.pause;
         let running = known.is_some_and(|pause| pause.until.is_none_or(|until| now < until));
-        // Several requests that were on their way count as one refusal.
+        // Refusals of requests that were in progress together count as one.
         if !running {
             self.refusals = self.refusals.saturating_add(1);
         }
@@ -180,8 +182,8 @@
 }
 
 impl RequestPause {
-    /// Whether it holds for longer than `other`, or the server wanted it and
-    /// not the other.
+    /// Whether this pause takes precedence over `other`: the server requested
+    /// only this one, or this one ends later.
     fn outlasts(&self, other: &Self) -> bool {
         if self.requested != other.requested {
             return self.requested;
--- a/crates/hibiscus-routing/src/health.rs
+++ b/crates/hibiscus-routing/src/health.rs
@@ -1,16 +1,16 @@
-//! Avoids servers that fail, and tries each again with a single request.
+//! Ejects servers that fail and probes each again with a single request.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time for which a server is avoided after its first failure.
+/// Time for which a server is ejected after its first failure.
 const FIRST_EJECTION: Duration = Duration::from_secs(2);
-/// Longest time for which a server is avoided.
+/// Maximum time for which a server is ejected.
 const MAX_EJECTION: Duration = Duration::from_secs(30);
-/// Doublings after which the time grows no more.
+/// Doublings after which the ejection time grows no more.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// What the last requests showed of one server.
+/// Health of one server by the outcome of recent requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerHealth {
     failures: u32,
@@ -19,8 +19,8 @@
 }
 
 impl ServerHealth {
-    /// Whether a request may go to the server. Once the time of avoidance has
-    /// passed, one request probes it.
+    /// Whether a request may be sent to the server. After an ejection, only one
+    /// request at a time probes it.
     pub fn is_usable(&self, now: Instant) -> bool {
         match self.avoided_until {
             None => true,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Counts a request that is sent.
+    /// Counts a request sent to the server.
     pub fn note_sent(&mut self) {
         if self.avoided_until.is_some() {
             self.probe_in_progress = true;
@@ -44,12 +44,13 @@
         self.probe_in_progress = false;
     }
 
-    /// Counts a request that the server answered.
+    /// Counts a request that the server completed.
     pub fn note_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Counts a request that showed nothing, such as one whose caller left.
+    /// Counts a request that proves nothing about the server, such as one whose
+    /// caller disconnected.
     pub fn note_inconclusive(&mut self) {
         self.probe_in_progress = false;
     }
--- a/crates/hibiscus-routing/src/lib.rs
+++ b/crates/hibiscus-routing/src/lib.rs
@@ -1,10 +1,11 @@
-//! Which server a request goes to.
+//! Selects the server for a request.
 //!
-//! Load reports lag, so a server's load is taken as the last report plus what
-//! was sent since ([`load`]). [`health`] keeps requests from servers that
-//! fail and [`availability`] from those that want none, [`affinity`] estimates which server holds a prefix, and a
-//! [`policy::RoutingPolicy`] chooses among the servers that stay.
-//! [`placement`] chooses by the predicted time to the first token.
+//! Load reports lag, so [`load`] estimates a server's load from its last report
+//! and the requests sent since. [`health`] excludes servers that fail and
+//! [`availability`] those that refuse requests or are draining. [`affinity`]
+//! estimates which servers hold a prompt prefix, and a [`policy::RoutingPolicy`]
+//! chooses among the remaining servers. [`placement`] chooses the server with the
+//! shortest predicted time to the first token.
 
 pub mod affinity;
 pub mod availability;
--- a/crates/hibiscus-routing/src/load.rs
+++ b/crates/hibiscus-routing/src/load.rs
@@ -1,8 +1,8 @@
-//! Load of servers as one process estimates it.
+//! Estimates the load of servers.
 //!
-//! A report is old when it arrives. What this process sent and what ended
-//! since the report was made is known exactly; what the other routers did
-//! meanwhile is taken to be like it.
+//! A load report is old when it arrives. This process knows exactly which of its
+//! own requests started and ended since the report was made, and assumes that
+//! the other routers' requests changed in a similar way.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,43 +12,43 @@
 use hibiscus_types::ServerName;
 use hibiscus_types::ServiceName;
 
-/// Age from which on a report is not used.
+/// Age above which a report is not used.
 pub const REPORT_LIFETIME: Duration = Duration::from_secs(10);
-/// Time for which the own requests in progress are remembered.
+/// Time for which the number of own requests in progress is remembered.
 const HISTORY_SPAN: Duration = Duration::from_secs(5);
-/// Share of the other routers' likeness that is believed, since their
-/// requests differ by chance.
+/// Weight of this process's change in load when it is extrapolated to the other
+/// routers; below 1 because their requests differ by chance.
 const EXTRAPOLATION_WEIGHT: f64 = 0.75;
-/// Other routers that are counted at most: of a large fleet, only some use
-/// the same server at a time.
+/// Maximum number of other routers to extrapolate to: in a large fleet only some
+/// use the same server at a time.
 const OTHER_ROUTER_LIMIT: u32 = 8;
-/// Weight of a new measurement of a server's speed.
+/// Weight of a new measurement in the average time per token.
 const SPEED_WEIGHT: f64 = 0.1;
 
-/// One server and its estimated load.
+/// A server and its estimated load.
 #[derive(Clone, Debug)]
 pub struct ServerLoad {
-    /// Its name.
+    /// Name of the server.
     pub name: ServerName,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     pub service: ServiceName,
-    /// Address of its HTTP port.
+    /// Address of the server's HTTP port.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub draining: bool,
-    /// Requests in progress by its last report.
+    /// Requests in progress according to the last report.
     pub reported: u32,
-    /// Requests that this process has in progress there.
+    /// Requests of this process in progress at the server.
     pub own: u32,
-    /// Requests expected to be in progress, from all routers.
+    /// Requests of all routers expected to be in progress at the server.
     pub expected: f64,
-    /// Seconds that it takes for a token, 0 when unknown.
+    /// Seconds per token, 0 when unknown.
     pub token_seconds: f64,
-    /// Belief that it holds the request's prefix, 0 to 1.
+    /// Probability that the server holds the request's prefix, from 0 to 1.
     pub cached: f64,
 }
 
-/// A report and what this process had in progress when it was made.
+/// A load report and this process's requests in progress when it was made.
 #[derive(Clone, Copy, Debug)]
 struct RecordedReport {
     load: u32,
@@ -56,7 +56,7 @@
     own_at_report: u32,
 }
 
-/// Follows the load of one server.
+/// Tracks the load of one server.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTracker {
     own: u32,
@@ -76,8 +76,8 @@
         self.set_own(self.own.saturating_sub(1), now);
     }
 
-    /// Takes a report of `load` requests in progress, made at `made`. One
-    /// made before the last is ignored.
+    /// Stores a report of `load` requests in progress, made at `made`. A report
+    /// older than the stored one is ignored.
     pub fn note_report(&mut self, load: u32, made: Instant) {
         if self.report.is_some_and(|report| made < report.made) {
             return;
@@ -90,7 +90,7 @@
         });
     }
 
-    /// Takes a measured time between two tokens.
+    /// Adds a measured time between two tokens to the average.
     pub fn note_speed(&mut self, token_seconds: f64) {
         if self.token_seconds <= 0.0 {
             self.token_seconds = token_seconds;
@@ -99,29 +99,29 @@
         }
     }
 
-    /// Requests that this process has in progress.
+    /// Requests of this process in progress.
     pub fn own(&self) -> u32 {
         self.own
     }
 
-    /// Requests in progress by the last report.
+    /// Requests in progress according to the last report.
     pub fn reported(&self) -> u32 {
         self.report.map_or(0, |report| report.load)
     }
 
-    /// Seconds that the server takes for a token, 0 when unknown.
+    /// Average seconds per token, 0 when unknown.
     pub fn token_seconds(&self) -> f64 {
         self.token_seconds
     }
 
-    /// Whether there is a report that may be used at `now`.
+    /// Whether there is a report that is recent enough to use at `now`.
     pub fn is_fresh(&self, now: Instant) -> bool {
         self.report
             .is_some_and(|report| now.saturating_duration_since(report.made) <= REPORT_LIFETIME)
     }
 
-    /// Requests expected in progress at `now`, from this process and
-    /// `others` like it.
+    /// Requests expected to be in progress at `now`, from this process and
+    /// `others` similar routers.
     pub fn expected(&self, now: Instant, others: u32) -> f64 {
         let own = f64::from(self.own);
         let others = f64::from(others.min(OTHER_ROUTER_LIMIT));
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Requests that this process had in progress at `time`. An entry of the
-    /// history is the number up to its time.
+    /// Requests of this process in progress at `time`. Each entry of the history
+    /// holds the number up to its time.
     fn own_at(&self, time: Instant) -> u32 {
         for (until, own) in &self.history {
             if time < *until {
--- a/crates/hibiscus-routing/src/placement.rs
+++ b/crates/hibiscus-routing/src/placement.rs
@@ -1,12 +1,12 @@
-//! Where a prompt goes, by the predicted time to its first token.
+//! Chooses the server with the shortest predicted time to a prompt's first token.
 //!
-//! A server's prediction is the prefill that waits there (what this process
-//! sent and saw no token of yet, and a share for the other instances), plus
-//! the parts of the prompt that it does not hold, plus what the requests in
-//! progress cost. Which parts a server holds is believed from what was sent
-//! there; for parts that nobody here has sent, every instance assumes the
-//! same home, so that a session's requests meet on one server without a word
-//! between the instances.
+//! The prediction adds up the prefill queued at the server (prompts that this
+//! process sent and that have no output token yet, with an allowance for the other
+//! instances), the parts of the prompt that the server does not hold, and the cost
+//! of the requests in progress there. A server is assumed to hold the parts that
+//! were recently sent to it. For parts that this process has not sent, every
+//! instance computes the same preferred server, so that the requests of a session
+//! meet on one server without communication between the instances.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,63 +14,65 @@
 
 use hibiscus_types::hash::stable_hash;
 
-/// Prompt tokens that an engine reads in a millisecond, before any was
-/// measured; the sheets of the deployments say 38.4 and 39.3.
+/// Prompt tokens that an engine prefills per millisecond; the data sheets of the
+/// deployments state 38.4 and 39.3.
 const PREFILL_TOKENS_PER_MS: f64 = 38.0;
-/// Weight of reading shared parts again beyond its time: it takes memory from
-/// other sessions' parts, and the users price it.
+/// Weight of prefilling shared parts again: besides its time it takes memory
+/// from the parts of other sessions, and users pay for it.
 const RECOMPUTE_WEIGHT: f64 = 3.0;
-/// What one more request in progress costs, in milliseconds to the first
-/// token: about one step of the batch.
+/// Cost of each request in progress, in milliseconds to the first token: about
+/// one step of the batch.
 const RUNNING_REQUEST_MS: f64 = 6.0;
-/// What a request that waits for a place costs, in milliseconds.
+/// Cost of each request that waits for a slot, in milliseconds.
 const WAITING_REQUEST_MS: f64 = 30.0;
-/// What a new connection costs, in milliseconds: a round trip and the server's
-/// own work, which it does for each of them.
+/// Cost of a new connection, in milliseconds: a round trip, and the work of the
+/// server for each connection.
 const NEW_CONNECTION_MS: f64 = 4.0;
-/// Most that an instance's own order of the servers costs, in milliseconds.
+/// Maximum cost that the jitter adds, in milliseconds.
 const MAX_JITTER_MS: f64 = 2.0;
-/// Share of a home's parts that is believed to be held before this process
-/// sent any there.
+/// Probability that the preferred server holds a part that this process has not
+/// sent there.
 const PREFERRED_HIT_PROBABILITY: f64 = 0.8;
-/// Time after which a part that was sent is no longer believed to be held.
+/// Time after which a part that was sent is assumed to be evicted.
 const PART_LIFETIME: Duration = Duration::from_secs(30);
-/// Parts remembered of one server.
+/// Maximum number of parts remembered per server.
 const PART_LIMIT: usize = 1_024;
 
-/// A part of a prompt: its number and its tokens.
+/// A part of a prompt: its id and its number of tokens.
 pub type PartTokens = (u64, u64);
 
-/// What is believed of one server's prompt cache and prefill queue.
+/// Estimated prompt cache and prefill queue of one server.
 #[derive(Clone, Debug, Default)]
 pub struct PrefillTracker {
     parts: BTreeMap<u64, Duration>,
-    order: VecDeque<(Duration, u64)>,
-    prefill_tokens: u64,
+    sent_order: VecDeque<(Duration, u64)>,
+    pending_tokens: u64,
 }
 
 impl PrefillTracker {
-    /// Prompt tokens sent whose first output token has not been seen.
-    pub fn prefill_tokens(&self) -> u64 {
-        self.prefill_tokens
+    /// Tokens to prefill of the prompts that have no output token yet.
+    pub fn pending_tokens(&self) -> u64 {
+        self.pending_tokens
     }
 
-    /// Counts a prompt sent at `now` of which the server reads `prefill_tokens` tokens.
+    /// Counts a prompt sent at `now` for which the server has to prefill
+    /// `prefill_tokens`.
     pub fn note_sent(&mut self, parts: &[PartTokens], prefill_tokens: u64, now: Duration) {
-        self.prefill_tokens = self.prefill_tokens.saturating_add(prefill_tokens);
+        self.pending_tokens = self.pending_tokens.saturating_add(prefill_tokens);
         for (id, _tokens) in parts {
             self.parts.insert(*id, now);
-            self.order.push_back((now, *id));
+            self.sent_order.push_back((now, *id));
         }
         self.drop_expired(now);
     }
 
-    /// The first token of a prompt came, or the prompt ended without one.
+    /// Removes a prompt from the prefill queue when its first token arrives or
+    /// it ends without one.
     pub fn note_prefill_done(&mut self, prefill_tokens: u64) {
-        self.prefill_tokens = self.prefill_tokens.saturating_sub(prefill_tokens);
+        self.pending_tokens = self.pending_tokens.saturating_sub(prefill_tokens);
     }
 
-    /// Tokens of `parts` that the server has to read.
+    /// Expected number of tokens of `parts` that the server has to prefill.
     pub fn uncached_tokens(&self, parts: &[PartTokens], preferred: bool, now: Duration) -> f64 {
         let mut uncached_tokens = 0.0;
         let mut probability = 1.0;
@@ -90,60 +92,60 @@
     }
 
     fn drop_expired(&mut self, now: Duration) {
-        while let Some((sent, id)) = self.order.front() {
+        while let Some((sent, id)) = self.sent_order.front() {
             let old = now.saturating_sub(*sent) > PART_LIFETIME;
-            if !old && self.order.len() <= PART_LIMIT {
+            if !old && self.sent_order.len() <= PART_LIMIT {
                 break;
             }
             if self.parts.get(id) == Some(sent) {
                 self.parts.remove(id);
             }
-            self.order.pop_front();
+            self.sent_order.pop_front();
         }
     }
 }
 
-/// One server as the choice sees it.
+/// A server that a prompt may be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementCandidate<'a> {
-    /// Its name, for the homes.
+    /// Name of the server, which ranks it as preferred server.
     pub name: &'a str,
-    /// What is believed of its cache.
+    /// Estimated prompt cache and prefill queue of the server.
     pub prefill: &'a PrefillTracker,
-    /// Requests expected in progress, from all instances.
+    /// Requests of all instances expected to be in progress.
     pub expected: f64,
-    /// Requests that waited by its last report.
+    /// Requests waiting according to the last report.
     pub waiting: u32,
-    /// Requests that it serves at once.
+    /// Requests that the server runs at the same time.
     pub slots: u32,
-    /// Whether it is in another data centre than this instance.
+    /// Whether the server is in another data centre than this instance.
     pub remote: bool,
-    /// Whether a kept connection is there.
+    /// Whether there is an open idle connection to the server.
     pub connected: bool,
-    /// Its place in this instance's own order of the servers, from 0 to 1:
-    /// instances that know as little of the load must not choose alike.
+    /// Value from 0 to 1 that differs between instances, so that instances with
+    /// equally little information about the load do not all choose the same server.
     pub jitter: f64,
 }
 
-/// The place of `server` in the order of the instance `own`.
+/// Jitter that the instance `own` adds to the cost of `server`, from 0 to 1.
 pub fn jitter_of(own: &str, server: &str) -> f64 {
-    let ranked = stable_hash(&[own.as_bytes(), server.as_bytes()]);
-    ranked as f64 / u64::MAX as f64
+    let hash = stable_hash(&[own.as_bytes(), server.as_bytes()]);
+    hash as f64 / u64::MAX as f64
 }
 
-/// What is to be placed.
+/// The prompt to place.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The prompt's parts that other requests may share.
+    /// Parts of the prompt that other requests may share.
     pub shared: &'a [PartTokens],
-    /// The prompt's own tokens.
+    /// Tokens of the prompt that no other request shares.
     pub own_tokens: u64,
     /// Time of the steady clock.
     pub now: Duration,
 }
 
-/// The server with the lowest predicted time, with the tokens that it has to
-/// read; `None` without servers.
+/// Returns the index of the server with the lowest cost and the tokens that it
+/// has to prefill; `None` if there are no servers.
 pub fn choose(
     servers: &[PlacementCandidate<'_>],
     request: &PlacementRequest<'_>,
@@ -158,20 +160,21 @@
         let prefill_tokens = uncached_tokens + request.own_tokens as f64;
         let recompute_cost = uncached_tokens * (RECOMPUTE_WEIGHT - 1.0) / PREFILL_TOKENS_PER_MS;
         let cost = predicted_ms(server, prefill_tokens) + recompute_cost;
-        if best.is_none_or(|(_index, least, _unread)| cost < least) {
+        if best.is_none_or(|(_index, least, _prefill_tokens)| cost < least) {
             best = Some((index, cost, prefill_tokens));
         }
     }
     best.map(|(index, _cost, prefill_tokens)| (index, prefill_tokens as u64))
 }
 
-/// Milliseconds until the first token of a prompt with `prefill_tokens` tokens.
+/// Predicted milliseconds to the first token of a prompt with `prefill_tokens`
+/// to prefill.
 fn predicted_ms(server: &PlacementCandidate<'_>, prefill_tokens: f64) -> f64 {
-    let queue = server.prefill.prefill_tokens() as f64 / PREFILL_TOKENS_PER_MS;
-    let places = f64::from(server.slots.max(1));
-    let beyond = (server.expected + 1.0 - places).max(0.0);
-    let waiting = f64::from(server.waiting) + beyond;
-    // Remote servers cost bytes between data centres and a little time.
+    let queue = server.prefill.pending_tokens() as f64 / PREFILL_TOKENS_PER_MS;
+    let slots = f64::from(server.slots.max(1));
+    let overflow = (server.expected + 1.0 - slots).max(0.0);
+    let waiting = f64::from(server.waiting) + overflow;
+    // Traffic between data centres costs bytes and a little time.
     let remote = if server.remote { 1.0 } else { 0.0 };
     let connect = if server.connected {
         0.0
@@ -180,14 +183,14 @@
     };
     queue
         + prefill_tokens / PREFILL_TOKENS_PER_MS
-        + server.expected * RUNNING_REQUEST_MS * (8.0 / places).min(1.0)
+        + server.expected * RUNNING_REQUEST_MS * (8.0 / slots).min(1.0)
         + waiting * WAITING_REQUEST_MS
         + remote
         + connect
         + server.jitter * MAX_JITTER_MS
 }
 
-/// The server that all instances take for the home of the last shared part.
+/// Index of the server that all instances prefer for the last shared part.
 fn preferred_server(
     servers: &[PlacementCandidate<'_>],
     request: &PlacementRequest<'_>,
--- a/crates/hibiscus-routing/src/policy.rs
+++ b/crates/hibiscus-routing/src/policy.rs
@@ -1,22 +1,22 @@
-//! Choice of a server.
+//! Policies that choose a server.
 
 use crate::load::ServerLoad;
 
-/// Requests in progress that a cached prefix makes up for.
+/// Number of requests in progress that a cached prefix compensates for.
 const CACHED_PREFIX_CREDIT: f64 = 12.0;
-/// Factor by which the state of the random numbers grows.
+/// Multiplier of the linear congruential generator.
 const LCG_MULTIPLIER: u64 = 6_364_136_223_846_793_005;
-/// Number added to the state of the random numbers.
+/// Increment of the linear congruential generator.
 const LCG_INCREMENT: u64 = 1_442_695_040_888_963_407;
 
 /// Chooses a server for a request.
 pub trait RoutingPolicy {
-    /// The position of the chosen server, `None` when all are leaving.
+    /// Returns the index of the chosen server, or `None` when all are draining.
     /// `pick` is a number that differs from request to request.
     fn choose(&mut self, servers: &[ServerLoad], pick: u64) -> Option<usize>;
 }
 
-/// Any server.
+/// Chooses any server at random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RandomChoice;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The servers in turn.
+/// Chooses the servers in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The least reported load; equal loads are taken in turn.
+/// Chooses the server with the least reported load; ties are broken at random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastReported;
 
@@ -51,8 +51,9 @@
     }
 }
 
-/// The least cost: expected load times the server's time for a token, less
-/// what a cached prefix saves. Equal costs are taken in turn.
+/// Chooses the server with the least cost: the expected load times the relative
+/// time per token, minus the credit for a cached prefix. Ties are broken at
+/// random.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LagAware;
 
@@ -71,7 +72,7 @@
     }
 }
 
-/// The mean time for a token over the servers that show one, 1 without any.
+/// Mean time per token of the servers where it is known, 1 if there are none.
 fn mean_token_seconds(servers: &[ServerLoad]) -> f64 {
     let mut sum = 0.0;
     let mut count = 0.0;
@@ -84,7 +85,7 @@
     if count > 0.0 { sum / count } else { 1.0 }
 }
 
-/// The first server from `start` on that stays.
+/// Returns the first server from index `start` on that is not draining.
 fn first_available(servers: &[ServerLoad], start: usize) -> Option<usize> {
     let count = servers.len();
     for step in 0..count {
@@ -96,7 +97,8 @@
     None
 }
 
-/// The staying server of least `cost`; among equals the first from `start`.
+/// Returns the server with the least `cost` that is not draining; of equal ones
+/// the first from index `start` on.
 fn least<F>(servers: &[ServerLoad], start: usize, cost: F) -> Option<usize>
 where
     F: Fn(&ServerLoad) -> f64,
@@ -117,14 +119,14 @@
     best
 }
 
-/// The number after `state` in a linear congruential sequence.
+/// Returns the number that follows `state` in the generator's sequence.
 fn next_random(state: u64) -> u64 {
     state
         .wrapping_mul(LCG_MULTIPLIER)
         .wrapping_add(LCG_INCREMENT)
 }
 
-/// A position below `count` from the high bits of `random`.
+/// Returns an index below `count` from the high bits of `random`.
 fn position(random: u64, count: usize) -> usize {
     let high = random >> 33;
     usize::try_from(high).unwrap_or(0) % count.max(1)
--- a/crates/hibiscus-traffic/src/availability_table.rs
+++ b/crates/hibiscus-traffic/src/availability_table.rs
@@ -1,8 +1,8 @@
-//! What the servers' processes have said of new requests, by process.
+//! Availability of backend servers, by process.
 //!
-//! An entry may be written anew, or lapse and come back, while its process
-//! lives: what that process said holds on. News of a process whose entry has
-//! not come yet wait for it here.
+//! A server's entry may be rewritten, or expire and return, during the life of
+//! its process. The availability of the process remains the same. It is also
+//! recorded for processes whose entry has not arrived yet.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,29 +13,29 @@
 
 use crate::model::ServerStart;
 
-/// Processes without an entry that are remembered: more than leave within the
-/// time for which one of them may still answer.
+/// Maximum number of processes without an entry that are remembered: more than
+/// drain within the time for which one of them may still respond.
 const ABSENT_PROCESS_LIMIT: usize = 16_384;
 
-/// The availability of one process, as its tasks share it.
+/// Availability of one process, shared by the tasks that use it.
 pub type SharedAvailability = Rc<RefCell<ServerAvailability>>;
 
-/// What processes have said of new requests.
+/// Availability of server processes.
 #[derive(Debug, Default)]
 pub struct AvailabilityTable {
     availabilities: HashMap<ServerStart, SharedAvailability>,
-    /// Those without an entry, the oldest first.
+    /// Processes without an entry, oldest first.
     absent: VecDeque<ServerStart>,
 }
 
 impl AvailabilityTable {
-    /// What the process `start` has said.
+    /// The availability of the process `start`, which is inserted if missing.
     pub fn get_or_insert(&mut self, start: &ServerStart) -> SharedAvailability {
-        let availabilities = self.availabilities.entry(start.clone()).or_default();
-        Rc::clone(availabilities)
+        let availability = self.availabilities.entry(start.clone()).or_default();
+        Rc::clone(availability)
     }
 
-    /// Notes that `start` leaves; whether that is new.
+    /// Marks `start` as draining; returns whether that is new.
     pub fn note_draining(&mut self, start: &ServerStart) -> bool {
         let is_known = self.availabilities.contains_key(start);
         let new = self.get_or_insert(start).borrow_mut().note_draining();
@@ -45,14 +45,14 @@
         new
     }
 
-    /// The entry of `start` is gone. What it said last is kept for a while if
-    /// it wants no requests.
+    /// Records that the entry of `start` was removed. Its availability is kept for
+    /// a while if the process is draining or paused.
     pub fn note_entry_removed(&mut self, start: &ServerStart) {
-        let Some(availabilities) = self.availabilities.get(start) else {
+        let Some(availability) = self.availabilities.get(start) else {
             return;
         };
-        let said = *availabilities.borrow();
-        if !said.is_draining() && !said.is_paused() {
+        let last = *availability.borrow();
+        if !last.is_draining() && !last.is_paused() {
             self.availabilities.remove(start);
             return;
         }
@@ -61,7 +61,7 @@
             let Some(oldest) = self.absent.pop_front() else {
                 break;
             };
-            // A process whose entry came back is shared with its handle.
+            // A server handle shares the availability if the entry has returned.
             let held = self.availabilities.get(&oldest).map_or(0, Rc::strong_count);
             if held <= 1 {
                 self.availabilities.remove(&oldest);
--- a/crates/hibiscus-traffic/src/crash_detector.rs
+++ b/crates/hibiscus-traffic/src/crash_detector.rs
@@ -1,9 +1,10 @@
-//! Finds out whether a server ended under the requests that it broke off.
+//! Detects servers that crashed while they ran requests.
 //!
-//! A server that ends closes all its connections and its port. One that resets
-//! a single answer, or is cut off from here, has ended under nobody. The
-//! request path only notes what broke ([`CrashDetector`]); [`run`] gathers what
-//! broke at the same moment and looks at the server once.
+//! A crashing server closes all its connections and its port. A server that
+//! resets a single response, or that is unreachable from this instance, did not
+//! crash. The request path only reports broken connections to [`CrashDetector`];
+//! [`run`] collects those that break at the same moment and checks the server's
+//! port once. Confirmed crashes go to [`crate::suspects`].
 
 use std::cell::Cell;
 use std::cell::OnceCell;
@@ -31,36 +32,36 @@
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 
-/// Servers that ended with requests of this instance on them.
+/// Counts servers that crashed while they ran requests of this instance.
 pub const SERVERS_CRASHED: &str = "hibiscus_servers_ended_total";
 
-/// Time in which what broke at one server is gathered: its connections end
-/// within a few milliseconds of each other.
+/// Time for which broken requests of one server are collected before its port is
+/// checked: a crash closes all connections within a few milliseconds.
 const CANDIDATE_GATHER_TIME: Duration = Duration::from_millis(10);
-/// Time for which a server that was found open is not looked at again.
+/// Time for which a server whose port was found open is not checked again.
 const OPEN_PORT_RECHECK_DELAY: Duration = Duration::from_millis(300);
-/// Time after the end of a server for which more is kept of streams.
+/// Time after a crash for which streams remain crash candidates after their first
+/// event.
 const CRASH_ALERT_TIME: Duration = Duration::from_secs(60);
-/// Time after its first event for which a stream may yet show that it ends its
-/// server.
+/// Time after its first event for which a stream remains a crash candidate.
 const STREAM_CANDIDATE_TIME: Duration = Duration::from_secs(2);
-/// Requests noted at one server at the most. Their bodies are kept meanwhile.
+/// Maximum number of crash candidates per server, whose bodies are kept meanwhile.
 const CANDIDATES_PER_SERVER_LIMIT: usize = 64;
 
-/// What is the same about a request when it comes again.
+/// What identifies a request when it is sent again.
 #[derive(Debug)]
 pub struct RequestIdentity {
     team: Option<TeamName>,
     target: Uri,
-    /// The body.
+    /// The request's body.
     pub body: Bytes,
-    /// Counts the body's bytes for as long as it is kept.
+    /// Counts the bytes of the body for as long as it is kept.
     _body_bytes: BodyBytes,
     fingerprint: OnceCell<RequestFingerprint>,
 }
 
 impl RequestIdentity {
-    /// The identity of `body` that `team` sends to `target`.
+    /// The identity of a request with `body` that `team` sends to `target`.
     pub fn new(
         team: Option<TeamName>,
         target: Uri,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The path and query.
+    /// The path and query of the request.
     pub fn target(&self) -> &Uri {
         &self.target
     }
@@ -90,12 +91,12 @@
             .map_or("", |path| path.as_str())
     }
 
-    /// Its print without the body's bytes.
+    /// The fingerprint without the content of the body.
     pub fn coarse(&self) -> CoarseFingerprint {
         CoarseFingerprint::of(self.team(), self.path(), self.body.len())
     }
 
-    /// Its print, which takes a hash of the body the first time.
+    /// The request's fingerprint. The first call hashes the body.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self
             .fingerprint
@@ -103,29 +104,29 @@
     }
 }
 
-/// What is kept of a request to know it again.
+/// What is kept of a crash candidate to identify its request.
 #[derive(Clone, Debug)]
 enum RequestSubject {
-    /// All of it, until its answer has begun.
+    /// The whole request, until its response has started.
     Identity(Rc<RequestIdentity>),
-    /// Its print, and the bytes of its body.
+    /// The request's fingerprint and the length of its body in bytes.
     Fingerprint(RequestFingerprint, usize),
 }
 
-/// A request at a server that may yet end under it.
+/// A request at a server, which is a suspect if the server crashes.
 #[derive(Clone, Debug)]
 pub struct CrashCandidate {
-    /// Its number, for the log.
+    /// The request's id, for the log.
     pub id: String,
     subject: RequestSubject,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Instant,
-    /// Rounds of ends under it that were known then.
+    /// Rounds of crashes of the request that were known when it was sent.
     pub known_rounds: u8,
 }
 
 impl CrashCandidate {
-    /// The request `id`, which is sent now, with `known_rounds` rounds of ends.
+    /// A candidate for the request `id`, which is being sent.
     pub fn new(id: &str, identity: &Rc<RequestIdentity>, known_rounds: u8) -> Self {
         Self {
             id: id.to_owned(),
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Its print.
+    /// The request's fingerprint.
     pub fn fingerprint(&self) -> RequestFingerprint {
         match &self.subject {
             RequestSubject::Identity(identity) => identity.fingerprint(),
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Bytes of its body.
+    /// Length of the request's body in bytes.
     pub fn bytes(&self) -> usize {
         match &self.subject {
             RequestSubject::Identity(identity) => identity.body.len(),
@@ -151,23 +152,23 @@
         }
     }
 
-    /// Gives the body up, and keeps the print.
+    /// Replaces the request by its fingerprint, to free the body.
     fn drop_body(&mut self) {
         self.subject = RequestSubject::Fingerprint(self.fingerprint(), self.bytes());
     }
 }
 
-/// The request of a stream, for as long as its server may end under it.
+/// The crash candidate of a streamed response, while its server may crash.
 #[derive(Debug)]
 pub struct StreamCandidate {
     request: Option<CrashCandidate>,
-    /// When its first event came.
+    /// Time of the stream's first event.
     first_event: Option<Instant>,
     detector: Rc<CrashDetector>,
 }
 
 impl StreamCandidate {
-    /// The exposure of `request`, which has not begun to be answered.
+    /// A candidate for `request`, whose response has not started.
     pub fn new(request: CrashCandidate, detector: Rc<CrashDetector>) -> Self {
         Self {
             request: Some(request),
@@ -176,8 +177,8 @@
         }
     }
 
-    /// An event came. Its request is of interest for some time after the
-    /// first, if servers ended lately; its body is not.
+    /// Records an event of the stream. After the first event the body is dropped,
+    /// and the request remains a candidate for a while if servers crashed recently.
     pub fn note_event(&mut self) {
         let Some(first_event) = self.first_event else {
             self.first_event = Some(Instant::now());
@@ -194,13 +195,13 @@
         }
     }
 
-    /// `server` broke the stream off.
+    /// Reports that `server` broke the stream off.
     pub fn note_broken(&mut self, server: &Rc<ServerHandle>) {
         self.detector.note_broken(server, self.request.take());
     }
 }
 
-/// Requests that broke at one server.
+/// Requests whose connections to one server broke.
 #[derive(Debug)]
 struct CrashCase {
     server: Rc<ServerHandle>,
@@ -208,20 +209,20 @@
     is_being_checked: bool,
 }
 
-/// Takes note of requests that servers broke off.
+/// Collects requests whose connections to their servers broke.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
     cases: RefCell<HashMap<ServerStart, CrashCase>>,
-    /// Servers that were found open, and when.
+    /// Servers whose port was found open, and when.
     found_open: RefCell<HashMap<ServerStart, Instant>>,
-    /// When a server ended last, as far as is known.
+    /// Time of the last known crash of a server.
     last_crash: Cell<Option<Instant>>,
     has_new: Notify,
 }
 
 impl CrashDetector {
-    /// The server broke a connection off, with `request` on it if that may have
-    /// ended the server, or refuses new ones.
+    /// Reports that the server broke a connection or refuses new ones. `request`
+    /// is the request on the connection, if it may have crashed the server.
     pub fn note_broken(&self, server: &Rc<ServerHandle>, request: Option<CrashCandidate>) {
         if server.is_closed() && request.is_none() {
             return;
@@ -243,18 +244,19 @@
         self.has_new.notify_one();
     }
 
-    /// A server has ended.
+    /// Records that a server crashed.
     pub fn note_crash(&self) {
         self.last_crash.set(Some(Instant::now()));
     }
 
-    /// Whether servers ended lately.
+    /// Whether a server crashed recently.
     fn is_alert(&self) -> bool {
         let last = self.last_crash.get();
         last.is_some_and(|at| at.elapsed() < CRASH_ALERT_TIME)
     }
 
-    /// Servers that nobody looks at yet, which are looked at from now on.
+    /// Returns the servers that are not being checked, and marks them as being
+    /// checked.
     fn take_unchecked(&self) -> Vec<Rc<ServerHandle>> {
         let mut servers = Vec::new();
         for case in self.cases.borrow_mut().values_mut() {
@@ -266,7 +268,7 @@
         servers
     }
 
-    /// The look at `server` is over: the requests that broke there.
+    /// Ends the check of `server` and returns the requests that broke there.
     fn finish_check(&self, server: &ServerHandle, port: PortState) -> Vec<CrashCandidate> {
         let process = server.entry.start();
         if port == PortState::Open {
@@ -279,7 +281,7 @@
     }
 }
 
-/// Looks at servers that broke requests off for as long as the runtime runs.
+/// Checks servers that broke connections, until the runtime stops.
 pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     loop {
         state.crash_detector.has_new.notified().await;
@@ -289,7 +291,7 @@
     }
 }
 
-/// Finds out whether `server` has ended.
+/// Checks whether `server` has crashed, and reports the crash.
 async fn check_server<D: RequestDialect>(state: Rc<TrafficState<D>>, server: Rc<ServerHandle>) {
     tokio::time::sleep(CANDIDATE_GATHER_TIME).await;
     let port = if server.has_open_link() {
@@ -299,7 +301,7 @@
     };
     let requests = state.crash_detector.finish_check(&server, port);
     let entry = &server.entry;
-    // One that leaves as planned ends with or without requests on it.
+    // A draining server shuts down whether it has requests or not.
     if port != PortState::Closed || !server.is_serving() {
         event!(
             EventCode::ServerNotEnded,
--- a/crates/hibiscus-traffic/src/probe.rs
+++ b/crates/hibiscus-traffic/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks other instances whether they serve, faster than the store tells.
+//! Probes the readiness of other instances, faster than the store reports it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,19 +22,20 @@
 use crate::tally::QuestionSubject;
 use crate::updates::TrafficUpdate;
 
-/// Time between two questions: callers are told of a death within a second.
+/// Time between two probes, short enough that callers learn of an instance's crash
+/// within a second.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(400);
-/// The same in a large fleet, where a question more costs every instance, and
-/// several watch each.
+/// Time between two probes in a large fleet, where each further probe costs every
+/// instance, and several instances watch each one.
 const LARGE_FLEET_REQUEST_INTERVAL: Duration = Duration::from_millis(800);
-/// Time between two looks whether the kept connection was closed: a process
-/// that ends closes its own, so its watchers need not wait to ask.
+/// Time between two checks whether the idle connection was closed: a process that
+/// exits closes its connections, so it is probed at once.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for an answer.
+/// Time to wait for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Asks the process that announced `entry` at `path` for as long as this
-/// instance is to watch it.
+/// Probes the process that announced `entry` at `path` for as long as this
+/// instance is assigned to watch it.
 pub async fn watch<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     entry: InstanceEntry,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Waits until the next question is due.
+/// Waits until the next probe is due.
 async fn wait_for_next_request<D: RequestDialect>(
     state: &TrafficState<D>,
     link: Option<&ServerLink>,
@@ -88,7 +89,7 @@
     }
 }
 
-/// One question over the kept connection, or over a new one.
+/// Sends one probe on the idle connection, or on a new one.
 async fn request_readiness(
     link: &mut Option<ServerLink>,
     entry: &InstanceEntry,
--- a/crates/hibiscus-traffic/src/retries.rs
+++ b/crates/hibiscus-traffic/src/retries.rs
@@ -1,9 +1,9 @@
-//! The share of the fleet's retries that this instance may send.
+//! Limits the retries that this instance may send.
 //!
-//! The fleet may send a number of retries in each window, a share of its
-//! requests plus a slack. An instance that sees nobody must stay within what
-//! is safe for all: the share of its own requests, and the slack divided by
-//! the instances that may run.
+//! In each window the fleet may send a number of retries that is a share of its
+//! requests plus a slack. An instance that reaches no other must stay within a
+//! limit that is safe for all: the share of its own requests, plus the slack
+//! divided by the number of instances that may run.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -11,22 +11,22 @@
 
 use hibiscus_types::ServiceName;
 
-/// Part of the bound that is used, since arrivals are counted elsewhere and a
+/// Share of the bound that is used, because arrivals are counted elsewhere and a
 /// little later.
 const USED_SHARE: f64 = 0.8;
 
-/// The bound for the whole fleet.
+/// Bound on the retries of the whole fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBound {
-    /// Retries for each request.
+    /// Retries per request.
     pub share: f64,
-    /// Retries beyond that.
+    /// Retries in addition to the share.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// Requests and retries of one service within the window.
+/// Times of the requests and retries of one service within the window.
 #[derive(Clone, Debug, Default)]
 struct ServiceCounts {
     requests: VecDeque<Duration>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Counts requests and retries.
+/// Counts requests and retries by service.
 #[derive(Clone, Debug)]
 pub struct RetryCounter {
     bound: RetryBound,
@@ -49,7 +49,7 @@
 }
 
 impl RetryCounter {
-    /// A counter that keeps `bound`.
+    /// A counter that enforces `bound`.
     pub fn new(bound: RetryBound) -> Self {
         Self {
             bound,
@@ -65,7 +65,7 @@
         drop_old(&mut counts.requests, now, window);
     }
 
-    /// Whether a retry is left, with `instances` that may send some.
+    /// Whether a retry may be sent when `instances` instances may send retries.
     pub fn has_retry(&mut self, service: &ServiceName, instances: u32, now: Duration) -> bool {
         let bound = self.bound;
         let Some(counts) = self.services.get_mut(service) else {
@@ -76,8 +76,8 @@
         counts.remaining(bound, instances) >= 1.0
     }
 
-    /// Takes one retry, with `instances` that may send some; false when none
-    /// is left.
+    /// Counts a retry when `instances` instances may send retries; returns false
+    /// if none is allowed.
     pub fn take_retry(&mut self, service: &ServiceName, instances: u32, now: Duration) -> bool {
         self.services.entry(service.clone()).or_default();
         if !self.has_retry(service, instances, now) {
@@ -89,8 +89,8 @@
         true
     }
 
-    /// Retries that may be sent now, over all services, with `instances` that
-    /// may send some.
+    /// Number of retries of all services that may be sent now when `instances`
+    /// instances may send retries.
     pub fn remaining(&mut self, instances: u32, now: Duration) -> f64 {
         let bound = self.bound;
         let mut remaining = 0.0;
@@ -103,7 +103,7 @@
     }
 }
 
-/// Removes times that left the window.
+/// Removes times before the window.
 fn drop_old(times: &mut VecDeque<Duration>, now: Duration, window: Duration) {
     while let Some(oldest) = times.front() {
         if now.saturating_sub(*oldest) <= window {
--- a/crates/hibiscus-traffic/src/server_changes.rs
+++ b/crates/hibiscus-traffic/src/server_changes.rs
@@ -1,11 +1,12 @@
-//! What changes among the servers, as a few instances tell the others.
+//! Changes to the servers' entries, published by a few instances for the others.
 //!
-//! Every server writes its entry each second or so, mostly unchanged. In a large
-//! fleet a few instances, the relays, read these entries and publish what
-//! changes in a topic of the fleet; the others follow that. News name the
-//! offsets of the servers' topic that they cover, so copies, late ones and those
-//! of several relays change nothing, and a follower sees that some are missing.
-//! It then reads the servers' topic itself, as it does when no news come.
+//! Every server rewrites its entry about every second, mostly unchanged. In a
+//! large fleet a few instances, the relays, read these entries and publish the
+//! changes in a topic of the fleet, which the other instances follow. A change
+//! set names the offsets of the servers' topic that it covers, so that repeated
+//! and late change sets and those of several relays change nothing, and a
+//! follower detects missing ones. It then reads the servers' topic itself, as it
+//! does when no change sets arrive.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,30 +17,30 @@
 
 use crate::model::ServerEntry;
 
-/// Topic of the news.
+/// Topic of the change sets.
 pub const SERVER_CHANGES_TOPIC: &str = "server-changes";
-/// Time after which a relay publishes also when nothing changed.
+/// Time after which a relay publishes an empty change set.
 pub const CHANGE_SET_INTERVAL: Duration = Duration::from_secs(1);
-/// Time by which each further relay waits longer for those before it.
+/// Additional time that each further relay waits for the relays before it.
 const RELAY_STAGGER: Duration = Duration::from_millis(400);
-/// Time without news after which a follower reads the servers' topic itself: a
-/// leaving server must be known within 2 s.
+/// Time without a change set after which a follower reads the servers' topic
+/// itself: a draining server must be known within 2 s.
 const CHANGE_SET_SILENCE_LIMIT: Duration = Duration::from_millis(1_300);
-/// Changes in one record: an entry is some 150 bytes, a record of the store
-/// takes 262,144.
+/// Maximum number of changes in one record: an entry has about 150 bytes, and the
+/// store accepts records of up to 262,144 bytes.
 const CHANGES_PER_SET_LIMIT: usize = 1_000;
 
-/// What became of one server's entry.
+/// Change to one server's entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerChange {
-    /// It is there, or changed.
+    /// The entry was added or changed.
     Present(ServerEntry),
-    /// It was removed, or names no server any more.
+    /// The entry was removed, or no longer describes a server.
     Gone(ServerName),
 }
 
 impl ServerChange {
-    /// The server.
+    /// Name of the server.
     pub fn name(&self) -> &ServerName {
         match self {
             Self::Present(entry) => &entry.name,
@@ -48,25 +49,25 @@
     }
 }
 
-/// The changes in a part of the servers' topic.
+/// The changes in a range of the servers' topic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerChangeSet {
-    /// Offset of the first record of the servers' topic that is covered.
+    /// Offset of the first covered record of the servers' topic.
     pub from: u64,
-    /// Offset after the last one.
+    /// Offset after the last covered record.
     pub upto: u64,
     /// The changes, each with the offset of its record.
     pub changes: Vec<(u64, ServerChange)>,
 }
 
-/// News that are missing before others.
+/// Reports that change sets before the received one are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChangeGap {
-    /// Offset from which on the servers' topic has to be read.
+    /// Offset from which the servers' topic has to be read.
     pub position: u64,
 }
 
-/// The servers by the records of their topic up to an offset.
+/// The servers' entries according to the records of their topic up to an offset.
 #[derive(Clone, Debug, Default)]
 pub struct EntryTable {
     position: u64,
@@ -74,7 +75,7 @@
 }
 
 impl EntryTable {
-    /// A book of the `entries` that the records before `position` leave.
+    /// A table of `entries`, which result from the records before `position`.
     pub fn new(entries: &[ServerEntry], position: u64) -> Self {
         let servers = entries
             .iter()
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Offset after the last record that is covered.
+    /// Offset after the last covered record.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Takes the record at `offset` over; `None` when nothing changed by it.
+    /// Applies the record at `offset`; returns `None` if it changes nothing.
     pub fn apply(&mut self, offset: u64, change: ServerChange) -> Option<ServerChange> {
         if offset < self.position {
             return None;
@@ -106,47 +107,48 @@
         is_new.then_some(change)
     }
 
-    /// Notes that there is nothing before `position` that is not covered.
+    /// Marks all records before `position` as covered.
     pub fn advance(&mut self, position: u64) {
         self.position = self.position.max(position);
     }
 
-    /// Takes news over; the changes that were not known.
+    /// Applies a change set; returns the changes that were not known.
     ///
     /// # Errors
     ///
-    /// Fails when news before these are missing.
+    /// Fails if change sets before this one are missing.
     pub fn apply_change_set(
         &mut self,
-        change_sets: ServerChangeSet,
+        change_set: ServerChangeSet,
     ) -> Result<Vec<ServerChange>, ChangeGap> {
-        if change_sets.from > self.position {
+        if change_set.from > self.position {
             return Err(ChangeGap {
                 position: self.position,
             });
         }
         let mut changes = Vec::new();
-        for (offset, change) in change_sets.changes {
+        for (offset, change) in change_set.changes {
             changes.extend(self.apply(offset, change));
         }
-        self.advance(change_sets.upto);
+        self.advance(change_set.upto);
         Ok(changes)
     }
 }
 
-/// What a relay has found and not seen published.
+/// Changes that a relay has read and that no relay has published yet.
 #[derive(Clone, Debug)]
 pub struct PendingChanges {
     from: u64,
     changes: Vec<(u64, ServerChange)>,
-    /// When the oldest of them was found.
+    /// Time at which the oldest of the changes was read.
     oldest_change: Option<Duration>,
-    /// When news were published last.
+    /// Time at which a change set was last published.
     last_published: Duration,
 }
 
 impl PendingChanges {
-    /// A draft of a relay that begins at `now` with the records before `from`.
+    /// Pending changes of a relay that starts at `now` and has read the records
+    /// before `from`.
     pub fn new(from: u64, now: Duration) -> Self {
         Self {
             from,
@@ -156,14 +158,14 @@
         }
     }
 
-    /// Adds a change that the record at `offset` made.
+    /// Adds a change made by the record at `offset`.
     pub fn push(&mut self, offset: u64, change: ServerChange, now: Duration) {
         self.oldest_change.get_or_insert(now);
         self.changes.push((offset, change));
     }
 
-    /// News that cover the records before `upto` were published, by this
-    /// relay or another.
+    /// Records that this or another relay published a change set that covers the
+    /// records before `upto`.
     pub fn note_published(&mut self, upto: u64, now: Duration) {
         self.last_published = self.last_published.max(now);
         self.changes.retain(|(offset, _change)| *offset >= upto);
@@ -173,18 +175,16 @@
         }
     }
 
-    /// Whether the relay with `place` others before it publishes at `now`.
+    /// Whether a relay with `place` relays before it has to publish at `now`.
     pub fn is_due(&self, place: u32, now: Duration) -> bool {
         let stagger = RELAY_STAGGER * place;
-        let waits = |oldest_change: Duration, most: Duration| {
-            now.saturating_sub(oldest_change) >= most + stagger
-        };
+        let waits = |since: Duration, limit: Duration| now.saturating_sub(since) >= limit + stagger;
         self.oldest_change
             .is_some_and(|oldest_change| waits(oldest_change, Duration::ZERO))
             || waits(self.last_published, CHANGE_SET_INTERVAL)
     }
 
-    /// The records to publish when those before `position` were read.
+    /// The change sets to publish after the records before `position` were read.
     pub fn change_sets(&self, position: u64) -> Vec<ServerChangeSet> {
         let mut change_sets = Vec::new();
         let mut from = self.from;
@@ -214,8 +214,8 @@
     }
 }
 
-/// Whether a follower that heard news last at `last_received` reads the servers' topic
-/// itself at `now`.
+/// Whether a follower that last received a change set at `last_received` has to
+/// read the servers' topic itself at `now`.
 pub fn is_stale(last_received: Duration, now: Duration) -> bool {
     now.saturating_sub(last_received) >= CHANGE_SET_SILENCE_LIMIT
 }
--- a/crates/hibiscus-traffic/src/server_registry.rs
+++ b/crates/hibiscus-traffic/src/server_registry.rs
@@ -1,8 +1,8 @@
-//! Which servers may be used, while the store comes and goes.
+//! Which servers may be used while the store is lost and returns.
 //!
-//! A server whose entry was removed while the store was away may only have
-//! been unable to renew it, so it stays until a little after the store's
-//! return; whoever is still missing then is gone.
+//! A server whose entry was removed during an outage of the store may just have
+//! failed to renew it. Such a server stays in the registry until shortly after
+//! the store returns, and is removed if its entry is still missing then.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use crate::model::ServerEntry;
 use crate::model::ServerPhase;
 
-/// Time after the store's return by which entries that lapsed are back, as
-/// the platform states it.
+/// Time after the store's return by which expired entries are written again,
+/// as stated by the platform.
 pub const ENTRY_RETURN_TIME: Duration = Duration::from_secs(2);
 
-/// One server of the roster.
+/// A server in the registry.
 #[derive(Clone, Debug)]
 struct RegisteredServer {
     entry: ServerEntry,
-    /// When it is dropped unless it writes again.
+    /// Time at which the server is removed unless its entry is written again.
     expires_at: Option<Duration>,
 }
 
-/// What changed in the roster.
+/// Change to the servers in the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// A server is there, or described itself anew.
+    /// A server was added, or its entry changed.
     Present(ServerEntry),
-    /// A server is gone.
+    /// A server was removed.
     Gone(ServerName),
 }
 
-/// The servers by name.
+/// The servers that may be used, by name.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRegistry {
     servers: BTreeMap<ServerName, RegisteredServer>,
@@ -42,12 +42,12 @@
 }
 
 impl ServerRegistry {
-    /// The store can't be read.
+    /// Records that the store cannot be read.
     pub fn note_store_lost(&mut self) {
         self.is_store_lost = true;
     }
 
-    /// The store was read again at `now`.
+    /// Records that the store was read at `now`.
     pub fn note_store_read(&mut self, now: Duration) {
         if self.is_store_lost {
             self.store_returned_at = Some(now);
@@ -55,47 +55,47 @@
         self.is_store_lost = false;
     }
 
-    /// Takes an entry over; `None` when nothing but its age changed.
+    /// Adds or updates an entry; returns `None` if only its age changed.
     pub fn put(&mut self, entry: ServerEntry) -> Option<RegistryChange> {
-        let held = self.servers.get_mut(&entry.name);
-        if let Some(held) = held {
-            held.expires_at = None;
-            if held.entry == entry {
+        let registered = self.servers.get_mut(&entry.name);
+        if let Some(registered) = registered {
+            registered.expires_at = None;
+            if registered.entry == entry {
                 return None;
             }
-            held.entry = entry.clone();
+            registered.entry = entry.clone();
             return Some(RegistryChange::Present(entry));
         }
-        let held = RegisteredServer {
+        let registered = RegisteredServer {
             entry: entry.clone(),
             expires_at: None,
         };
-        self.servers.insert(entry.name.clone(), held);
+        self.servers.insert(entry.name.clone(), registered);
         Some(RegistryChange::Present(entry))
     }
 
-    /// Takes the removal of an entry over.
+    /// Handles the removal of an entry from the store at `now`.
     pub fn remove(&mut self, name: &ServerName, now: Duration) -> Option<RegistryChange> {
         let until = match self.store_returned_at {
             _ if self.is_store_lost => Some(now + ENTRY_RETURN_TIME),
-            Some(store_returned_at) if now < store_returned_at + ENTRY_RETURN_TIME => {
-                Some(store_returned_at + ENTRY_RETURN_TIME)
+            Some(returned_at) if now < returned_at + ENTRY_RETURN_TIME => {
+                Some(returned_at + ENTRY_RETURN_TIME)
             }
             _ => None,
         };
-        let held = self.servers.get_mut(name)?;
-        // One that had said it was leaving did not lapse by the outage.
+        let registered = self.servers.get_mut(name)?;
+        // The entry of a draining server did not expire because of the outage.
         if let Some(until) = until
-            && held.entry.phase == ServerPhase::Serving
+            && registered.entry.phase == ServerPhase::Serving
         {
-            held.expires_at = Some(until);
+            registered.expires_at = Some(until);
             return None;
         }
         self.servers.remove(name);
         Some(RegistryChange::Gone(name.clone()))
     }
 
-    /// Takes over the newest entries of all servers, read at `now`.
+    /// Replaces all entries by `entries`, which were read at `now`.
     pub fn replace(&mut self, entries: Vec<ServerEntry>, now: Duration) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
         let mut missing = Vec::new();
@@ -113,14 +113,14 @@
         changes
     }
 
-    /// Drops the servers that did not come back by `now`.
+    /// Removes the servers whose entries did not return by `now`.
     pub fn expire(&mut self, now: Duration) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
         if self.is_store_lost {
             return changes;
         }
-        self.servers.retain(|name, held| {
-            let gone = held.expires_at.is_some_and(|until| now >= until);
+        self.servers.retain(|name, registered| {
+            let gone = registered.expires_at.is_some_and(|until| now >= until);
             if gone {
                 changes.push(RegistryChange::Gone(name.clone()));
             }
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the request path uses them.
+//! Backend servers and the choice of a server for a request.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -34,47 +34,47 @@
 use crate::model::ServerStart;
 use crate::server_registry::RegistryChange;
 
-/// Servers that were avoided since they said so, by service and cause.
+/// Counts servers that asked to be avoided, by service and cause.
 pub const SERVERS_AVOIDED: &str = "hibiscus_servers_avoided_total";
 
-/// Time without a byte from a server that has work, after which new requests
-/// avoid it: steps take some 5 ms, calls 30 ms, and prompts some 300 ms.
+/// Time without a byte from a server with requests in progress, after which new
+/// requests avoid it: steps take about 5 ms, calls 30 ms and prompts 300 ms.
 const SERVER_SILENCE_LIMIT: Duration = Duration::from_millis(450);
-/// Time for which a server that was found closed is avoided. Its entry lapses
-/// meanwhile, or names another start.
+/// Time for which a server whose port was closed is avoided. Meanwhile its entry
+/// expires or names a new process.
 const CLOSED_SERVER_AVOIDANCE: Duration = Duration::from_secs(6);
-/// Idle connections kept to one server at the most.
+/// Maximum number of idle connections per server.
 const IDLE_LINK_LIMIT: usize = 16;
-/// Part of the connections that a server accepts which all instances together
-/// keep idle; the rest is for requests in progress.
+/// Share of a server's connection limit that all instances together keep idle; the
+/// rest is for requests in progress.
 const IDLE_SHARE: f64 = 0.5;
 
-/// Idle connections that one of `instances` keeps to a server that accepts
-/// `limit` from all of them.
+/// Number of idle connections that one of `instances` instances keeps to a server
+/// that accepts `limit` connections from all of them.
 pub fn idle_share(limit: u32, instances: u32) -> usize {
     let share = f64::from(limit) * IDLE_SHARE / f64::from(instances.max(1));
     (share as usize).clamp(1, IDLE_LINK_LIMIT)
 }
 
-/// One server and what is known of it.
+/// A server process and its state as seen by this instance.
 #[derive(Debug)]
 pub struct ServerHandle {
-    /// Its own description.
+    /// The server's own entry.
     pub entry: ServerEntry,
     removed: Cell<bool>,
-    /// When it was found that it has ended.
+    /// Time at which the port was found closed.
     closed_at: Cell<Option<Instant>>,
     load: RefCell<LoadTracker>,
     waiting: Cell<u32>,
     in_progress: Cell<u32>,
-    /// When it was last heard, or got work after it had none.
+    /// Time of the last received byte, or of the first request after idling.
     last_received: Cell<Instant>,
     health: RefCell<ServerHealth>,
     availability: SharedAvailability,
-    /// Its place in this instance's own order of the servers.
+    /// This instance's jitter for the server, from 0 to 1.
     jitter: f64,
     prefill: RefCell<PrefillTracker>,
-    /// Its connections that are kept, the one used last at the end.
+    /// Idle connections, the most recently used last.
     idle: RefCell<Vec<IdleTicket>>,
     idle_limit: Cell<usize>,
     idle_links: Rc<IdleLinks<ServerLink>>,
@@ -105,20 +105,20 @@
         }
     }
 
-    /// Whether it does not leave.
+    /// Whether the server is present and not draining.
     pub fn is_serving(&self) -> bool {
         let serving = !self.removed.get() && self.entry.phase == ServerPhase::Serving;
         serving && !self.availability.borrow().is_draining()
     }
 
-    /// Whether the request that `trial` was noted for, and that has not left
-    /// yet, may still be sent.
+    /// Whether a request that was counted but not yet sent may still be sent;
+    /// `trial` is what [`Self::note_sent`] returned for it.
     pub fn still_accepts(&self, trial: bool) -> bool {
         let availability = self.availability.borrow();
         availability.still_accepts(trial, Instant::now())
     }
 
-    /// It refused a request, and wants none for `pause`.
+    /// Records that the server refused a request and requested a pause, if any.
     pub fn note_refused(&self, pause: Option<Duration>) {
         let mut availability = self.availability.borrow_mut();
         if pause.is_some() && !availability.is_paused() {
@@ -135,7 +135,7 @@
         availability.note_refused(pause, Instant::now());
     }
 
-    /// It took the request that `trial` was noted for.
+    /// Records that the server accepted the request that `trial` belongs to.
     pub fn note_accepted(&self, trial: bool) {
         let mut availability = self.availability.borrow_mut();
         let paused = availability.is_paused();
@@ -150,49 +150,50 @@
         }
     }
 
-    /// The request that `trial` was noted for ended without its word.
+    /// Records that the request that `trial` belongs to ended without a response.
     pub fn note_unanswered(&self, trial: bool) {
         self.availability.borrow_mut().note_unanswered(trial);
     }
 
-    /// Notes that its port is closed.
+    /// Records that the server's port is closed.
     pub fn note_closed(&self) {
         self.closed_at.set(Some(Instant::now()));
         self.drop_idle(0);
     }
 
-    /// Whether it was found closed lately. One that starts again is another.
+    /// Whether the port was found closed recently. A restarted server has a new
+    /// handle.
     pub fn is_closed(&self) -> bool {
         let closed_at = self.closed_at.get();
         closed_at.is_some_and(|at| at.elapsed() < CLOSED_SERVER_AVOIDANCE)
     }
 
-    /// Notes that bytes came from it.
+    /// Records that bytes were received from the server.
     pub fn note_received(&self) {
         self.last_received.set(Instant::now());
     }
 
-    /// Requests of this instance in progress there.
+    /// Requests of this instance in progress at the server.
     pub fn in_progress(&self) -> u32 {
         self.in_progress.get()
     }
 
-    /// Whether it has work and has been silent for long.
+    /// Whether the server has requests in progress and has sent nothing for long.
     pub fn is_silent(&self) -> bool {
         self.in_progress.get() > 0 && self.last_received.get().elapsed() > SERVER_SILENCE_LIMIT
     }
 
-    /// Whether nothing speaks against sending to it.
+    /// Whether the server is responsive, open and not ejected for failures.
     fn is_healthy(&self, now: Instant) -> bool {
         !self.is_silent() && !self.is_closed() && self.health.borrow().is_usable(now)
     }
 
-    /// Whether it wants requests, as far as it said.
+    /// Whether the server accepts new requests, as far as it has reported.
     fn is_eligible(&self, now: Instant) -> bool {
         self.availability.borrow().eligibility(now) == ServerEligibility::Open
     }
 
-    /// An idle connection, the one used last first.
+    /// Takes an idle connection, the most recently used first.
     pub fn take_idle(&self) -> Option<ServerLink> {
         let mut idle = self.idle.borrow_mut();
         while let Some(ticket) = idle.pop() {
@@ -203,7 +204,7 @@
         None
     }
 
-    /// Whether one of its idle connections is open.
+    /// Whether one of the idle connections is open.
     pub fn has_open_link(&self) -> bool {
         let idle = self.idle.borrow();
         idle.iter().any(|ticket| self.idle_links.is_usable(*ticket))
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Drops the oldest idle connections until at most `limit` are left.
+    /// Drops the oldest idle connections until at most `limit` remain.
     fn drop_idle(&self, limit: usize) {
         let mut idle = self.idle.borrow_mut();
         let surplus = idle.len().saturating_sub(limit);
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Counts a request sent there; whether it tries the server after a
-    /// refusal.
+    /// Counts a request sent to the server; returns whether it is a trial request
+    /// after a refusal.
     pub fn note_sent(&self, parts: &[PartTokens], prefill_tokens: u64, now: Duration) -> bool {
         if self.in_progress.get() == 0 {
             self.note_received();
@@ -246,7 +247,8 @@
         self.availability.borrow_mut().note_sent(Instant::now())
     }
 
-    /// Its first answer bytes came, so its prompt has been read.
+    /// Records that the first bytes of a response arrived, so the prompt was
+    /// prefilled.
     pub fn note_prefill_done(&self, prefill_tokens: u64) {
         self.prefill.borrow_mut().note_prefill_done(prefill_tokens);
     }
@@ -258,22 +260,22 @@
         self.load.borrow_mut().note_ended(Instant::now());
     }
 
-    /// The server answered properly.
+    /// Records that the server completed a request.
     pub fn note_healthy(&self) {
         self.health.borrow_mut().note_success();
     }
 
-    /// The server failed a request.
+    /// Records that the server failed a request.
     pub fn note_failed(&self) {
         self.health.borrow_mut().note_failed(Instant::now());
     }
 
-    /// A request showed nothing of the server's health.
+    /// Records that a request proved nothing about the server's health.
     pub fn note_inconclusive(&self) {
         self.health.borrow_mut().note_inconclusive();
     }
 
-    /// Takes a load report over.
+    /// Stores a load report.
     pub fn note_load(&self, report: &ServerLoadReport) {
         let load = report.running.saturating_add(report.waiting);
         self.load.borrow_mut().note_report(load, Instant::now());
@@ -281,26 +283,26 @@
     }
 }
 
-/// Where a request goes.
+/// The server chosen for a request.
 #[derive(Debug)]
 pub struct ChosenServer {
     /// The server.
     pub server: Rc<ServerHandle>,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that the server has to prefill.
     pub prefill_tokens: u64,
 }
 
 /// Why no server of a service can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoServer {
-    /// None is left that serves.
+    /// No server is left that serves requests.
     Missing,
-    /// Those that serve want no requests now; the first does after the time,
-    /// if it named one.
+    /// All serving servers are paused. Holds the time until the first one
+    /// resumes, if known.
     Pausing(Option<Duration>),
 }
 
-/// All servers, by service.
+/// All servers, by name and by service.
 #[derive(Debug)]
 pub struct ServerPool {
     own: InstanceName,
@@ -311,21 +313,21 @@
 }
 
 impl NoServer {
-    /// The reason when another server wants no requests until `until`.
+    /// Combines the reason with a further server that is paused until `until`.
     fn with_pause_until(self, until: Option<Instant>, now: Instant) -> Self {
-        let back = until.map(|until| until.saturating_duration_since(now));
+        let remaining = until.map(|until| until.saturating_duration_since(now));
         match self {
-            Self::Pausing(Some(first)) => {
-                Self::Pausing(Some(back.map_or(first, |back| back.min(first))))
-            }
-            Self::Missing | Self::Pausing(None) => Self::Pausing(back),
+            Self::Pausing(Some(first)) => Self::Pausing(Some(
+                remaining.map_or(first, |remaining| remaining.min(first)),
+            )),
+            Self::Missing | Self::Pausing(None) => Self::Pausing(remaining),
         }
     }
 }
 
 impl ServerPool {
-    /// A pool of the instance `own` without servers, that keeps at most `idle`
-    /// connections to all of them.
+    /// An empty pool of the instance `own`, which keeps at most `idle` idle
+    /// connections to all servers together.
     pub fn new(own: InstanceName, idle: usize) -> Self {
         Self {
             own,
@@ -341,7 +343,7 @@
         &self.idle_links
     }
 
-    /// Takes a change of the roster over.
+    /// Applies a change of the server registry.
     pub fn apply(&mut self, change: RegistryChange) {
         match change {
             RegistryChange::Present(entry) => self.put(entry),
@@ -349,7 +351,7 @@
         }
     }
 
-    /// Keeps at most `limit` idle connections to each server of `service`.
+    /// Limits the idle connections to each server of `service`.
     pub fn set_idle_limit(&self, service: &ServiceName, limit: usize) {
         for server in self.by_service.get(service).into_iter().flatten() {
             server.idle_limit.set(limit);
@@ -357,14 +359,14 @@
         }
     }
 
-    /// Servers that take requests, and servers that are leaving.
+    /// Number of serving servers and of all others, which are draining.
     pub fn count(&self) -> (usize, usize) {
         let serving = self.by_name.values().filter(|server| server.is_serving());
         let serving = serving.count();
         (serving, self.by_name.len() - serving)
     }
 
-    /// Servers with work that have been silent for long.
+    /// Number of servers that have requests in progress and are silent.
     pub fn count_silent(&self) -> usize {
         let silent = self.by_name.values().filter(|server| server.is_silent());
         silent.count()
@@ -375,13 +377,13 @@
         self.by_name.is_empty()
     }
 
-    /// The process of the server `name` that began at `started`.
+    /// Finds the process of the server `name` that started at `started`.
     pub fn find(&self, name: &ServerName, started: u64) -> Option<&Rc<ServerHandle>> {
         let server = self.by_name.get(name);
         server.filter(|server| server.entry.started == started)
     }
 
-    /// Notes that the process `start` leaves; whether that is new.
+    /// Marks the server process `start` as draining; returns whether that is new.
     pub fn note_draining(&mut self, start: &ServerStart) -> bool {
         let new = self.availability_table.note_draining(start);
         if new && let Some(server) = self.find(&start.server, start.started) {
@@ -392,13 +394,13 @@
         new
     }
 
-    /// Chooses a server of `service` that is not among `tried`. Servers that
-    /// failed, refused or were found closed lately are used only when there is
+    /// Chooses a server of `service` that is not in `tried`. Servers that failed,
+    /// refused a request or were found closed recently are used only if there is
     /// no other.
     ///
     /// # Errors
     ///
-    /// Fails when there is none that serves, or when all want no requests now.
+    /// Fails if no server of the service is serving, or all of them are paused.
     pub fn choose(
         &self,
         service: &ServiceName,
@@ -429,13 +431,13 @@
         } else {
             usable.append(&mut avoided);
         }
-        let books: Vec<_> = usable
+        let prefills: Vec<_> = usable
             .iter()
             .map(|server| server.prefill.borrow())
             .collect();
-        let mut views = Vec::with_capacity(usable.len());
-        for (server, prefill) in usable.iter().zip(&books) {
-            views.push(PlacementCandidate {
+        let mut candidates = Vec::with_capacity(usable.len());
+        for (server, prefill) in usable.iter().zip(&prefills) {
+            candidates.push(PlacementCandidate {
                 name: server.entry.name.as_str(),
                 prefill,
                 expected: server.load.borrow().expected(now, others),
@@ -446,15 +448,15 @@
                 jitter: server.jitter,
             });
         }
-        let (index, prefill_tokens) = placement::choose(&views, request).ok_or(none)?;
+        let (index, prefill_tokens) = placement::choose(&candidates, request).ok_or(none)?;
         Ok(ChosenServer {
             server: Rc::clone(usable[index]),
             prefill_tokens,
         })
     }
 
-    /// Whether a server of `service` that was not `tried` takes requests and
-    /// is well.
+    /// Whether a healthy server of `service` that is not in `tried` accepts
+    /// requests.
     pub fn has_other(&self, service: &ServiceName, tried: &[ServerName]) -> bool {
         let now = Instant::now();
         let servers = self.by_service.get(service).into_iter().flatten();
@@ -504,7 +506,7 @@
         }
     }
 
-    /// Takes the handle of `name` out, which gets nothing more.
+    /// Removes the handle of `name` from the pool, and drops its idle connections.
     fn detach(&mut self, name: &ServerName) -> Option<Rc<ServerHandle>> {
         let server = self.by_name.remove(name)?;
         server.removed.set(true);
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -1,13 +1,11 @@
-//! Servers that ended, and the requests under which they did.
+//! Tracks requests that were running when servers crashed.
 //!
-//! Servers that say that they leave are told in the same way.
-//!
-//! [`SuspectTracker`] holds the book ([`hibiscus_request::suspects`]). News go two
-//! ways: over the link from neighbour to neighbour ([`run`]), which takes
-//! milliseconds and needs no store, and those of requests into a topic of the
-//! fleet, which outlives all processes. Whoever learns something new passes it
-//! on, so a server's end costs each instance a message to each of its few
-//! contacts.
+//! [`SuspectTracker`] holds the crash reports ([`hibiscus_request::suspects`]).
+//! They spread in two ways. Over the peer link ([`run`]) each instance forwards
+//! what is new to it to a few contacts, which takes milliseconds and needs no
+//! store, so that a crash costs each instance one message to each of its few
+//! contacts. Reports on requests are also appended to a topic of the fleet, which
+//! outlives all processes. Draining servers are announced over the link too.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -40,39 +38,39 @@
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 
-/// Requests under which servers ended, by what became of them.
+/// Counts suspected requests by what was decided about them.
 pub const SUSPECT_REQUESTS: &str = "hibiscus_suspect_requests_total";
-/// Requests in the book.
+/// Number of suspected requests that are tracked.
 pub const SUSPECTS: &str = "hibiscus_suspects";
 
-/// News of each kind in one message over the link: less than 20 KB.
+/// Maximum number of items of each kind in one message: less than 20 KB.
 const NOTICE_ITEM_LIMIT: usize = 100;
-/// News that wait to be passed on over the link; the topic has what is lost.
+/// Maximum number of items queued for the link; the topic holds what is dropped.
 const QUEUED_ITEM_LIMIT: usize = 10_000;
-/// Pause after a message, so that what is found at the same moment goes
+/// Pause after a message, so that items found at the same moment are sent
 /// together.
 const NOTICE_PAUSE: Duration = Duration::from_millis(20);
-/// Pause before an instance that did not answer is told once more.
+/// Pause before a notice is resent to an instance that did not respond.
 const RESEND_PAUSE: Duration = Duration::from_millis(200);
-/// Time after which another instance appends what the topic does not hold: the
-/// one that saw the server end may have been killed.
+/// Time after which the maintainer of the topic appends reports that it does not
+/// hold: the instance that detected the crash may have been killed.
 const APPEND_TAKEOVER_DELAY: Duration = Duration::from_secs(5);
-/// Subject by which one instance is chosen for that.
+/// Subject by which the instance that maintains the topic is chosen.
 const MAINTAINER_SUBJECT: &str = "suspects";
 
-/// What a request that is to be sent is told.
+/// Whether a request may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SuspectStatus {
-    /// Nothing is known against it.
+    /// No server is known to have crashed while it ran the request.
     Clear,
-    /// Servers ended under it: it may be sent to one server.
+    /// Servers crashed while they ran the request: it may be sent to one server.
     Suspect(CrashSummary),
-    /// It must not be sent.
+    /// The request is quarantined and must not be sent.
     Quarantined(CrashSummary),
 }
 
 impl SuspectStatus {
-    /// Rounds of ends that are known.
+    /// Number of known rounds of crashes.
     pub fn rounds(&self) -> u8 {
         match self {
             Self::Clear => 0,
@@ -81,14 +79,14 @@
     }
 }
 
-/// What instances tell each other of servers that ended or leave.
+/// What instances report to each other about crashed and draining servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNotice {
     /// Servers whose ports were found closed.
     pub servers: Vec<ServerStart>,
-    /// The requests under which servers ended.
+    /// Changes to the crash reports.
     pub suspects: Vec<SuspectRecord>,
-    /// Servers that said that they leave.
+    /// Servers that announced that they are draining.
     pub draining: Vec<ServerStart>,
 }
 
@@ -98,16 +96,16 @@
     }
 }
 
-/// What the topic of the fleet holds.
+/// What was read from the topic of the fleet.
 #[derive(Debug)]
 pub enum SuspectUpdate {
-    /// All of it, read anew.
+    /// All reports in the topic, read again from the start.
     Snapshot(Vec<CrashReport>),
-    /// A record that was appended.
+    /// A record that was appended to the topic.
     Appended(SuspectRecord),
 }
 
-/// Holds the requests under which servers ended.
+/// Tracks the requests that were running when servers crashed.
 #[derive(Debug)]
 pub struct SuspectTracker {
     own: InstanceName,
@@ -118,7 +116,7 @@
 }
 
 impl SuspectTracker {
-    /// The empty desk of the instance `own`, whose records go to `outbox`.
+    /// An empty tracker of the instance `own`, which sends new records to `outbox`.
     pub fn new(own: InstanceName, outbox: SyncSender<Vec<SuspectRecord>>) -> Self {
         Self {
             own,
@@ -129,8 +127,8 @@
         }
     }
 
-    /// What is known against a request. Its body is read only when others of
-    /// its team, path and length are known.
+    /// Returns whether a request may be sent. Its body is hashed only if a suspect
+    /// has the same team, path and length.
     pub fn status(&self, identity: &RequestIdentity) -> SuspectStatus {
         let crashes = self.crashes.borrow();
         if crashes.is_empty() || !crashes.may_contain(identity.coarse()) {
@@ -145,11 +143,11 @@
         }
     }
 
-    /// `server` ended at `now` under `requests`.
+    /// Records that `server` crashed at `now` while it ran `requests`.
     pub fn note_crash(&self, server: &ServerHandle, requests: &[CrashCandidate], now: Duration) {
         let entry = &server.entry;
         let process = ServerProcess::of(&entry.name, entry.started);
-        let mut news = Vec::with_capacity(requests.len());
+        let mut records = Vec::with_capacity(requests.len());
         if self.crashes.borrow_mut().note_crash(process, now) {
             self.queued.borrow_mut().servers.push(entry.start());
             self.has_queued.notify_one();
@@ -179,20 +177,21 @@
                 report.isolated
             );
             if crashes.merge(report.clone(), now) {
-                news.push(SuspectRecord::Crashed(report));
+                records.push(SuspectRecord::Crashed(report));
             }
         }
-        self.append(news.clone());
-        self.enqueue(news);
+        self.append(records.clone());
+        self.enqueue(records);
     }
 
-    /// The process `start` of a server leaves, which was not known here.
+    /// Queues a notice that the server process `start` is draining.
     pub fn note_draining(&self, start: ServerStart) {
         self.queued.borrow_mut().draining.push(start);
         self.has_queued.notify_one();
     }
 
-    /// The request was answered, so it ends no servers.
+    /// Clears a request that got a response, which proves that it crashes no
+    /// servers.
     pub fn note_response(&self, id: &str, fingerprint: &RequestFingerprint) {
         let keys = self.crashes.borrow_mut().clear(fingerprint);
         if keys.is_empty() {
@@ -204,31 +203,31 @@
             "request={id} print={fingerprint} servers={}",
             keys.len()
         );
-        let news: Vec<_> = keys.into_iter().map(SuspectRecord::Removed).collect();
-        self.append(news.clone());
-        self.enqueue(news);
+        let records: Vec<_> = keys.into_iter().map(SuspectRecord::Removed).collect();
+        self.append(records.clone());
+        self.enqueue(records);
     }
 
-    /// Takes over at `now` what another instance tells; the servers of which
-    /// nothing was known.
-    pub fn merge_notice(&self, news: &CrashNotice, now: Duration) -> Vec<ServerStart> {
+    /// Merges a notice from another instance at `now`; returns the crashed servers
+    /// that were not known here.
+    pub fn merge_notice(&self, notice: &CrashNotice, now: Duration) -> Vec<ServerStart> {
         let mut servers = Vec::new();
-        for closed in &news.servers {
+        for closed in &notice.servers {
             let process = ServerProcess::of(&closed.server, closed.started);
             if self.crashes.borrow_mut().note_crash(process, now) {
                 servers.push(closed.clone());
             }
         }
         self.queued.borrow_mut().servers.extend_from_slice(&servers);
-        let mut suspects = news.suspects.clone();
+        let mut suspects = notice.suspects.clone();
         suspects.retain(|item| self.merge(item, "instance", now));
         self.queued.borrow_mut().suspects.extend(suspects);
         self.has_queued.notify_one();
         servers
     }
 
-    /// Takes over at `now` what the topic holds. `maintains` says whether this
-    /// instance keeps the topic tidy.
+    /// Applies what was read from the topic at `now`. `maintains` is whether this
+    /// instance maintains the topic.
     pub fn apply_update(&self, update: SuspectUpdate, maintains: bool, now: Duration) {
         match update {
             SuspectUpdate::Snapshot(records) => {
@@ -238,7 +237,7 @@
                 }
                 self.crashes.borrow_mut().retain_stored(&listed);
             }
-            SuspectUpdate::Appended(news) => self.apply_record(news, maintains, now),
+            SuspectUpdate::Appended(record) => self.apply_record(record, maintains, now),
         }
     }
 
@@ -250,7 +249,7 @@
         }
         let mut crashes = self.crashes.borrow_mut();
         crashes.note_stored(&key);
-        // A late append brought back what had been dropped.
+        // A late append has restored a report that was removed.
         let is_late = crashes.was_removed(&key);
         drop(crashes);
         if is_late && maintains {
@@ -258,10 +257,10 @@
         }
     }
 
-    /// Takes one piece of news over; whether it was new.
-    fn merge(&self, news: &SuspectRecord, source: &str, now: Duration) -> bool {
+    /// Merges one record; returns whether it was new.
+    fn merge(&self, record: &SuspectRecord, source: &str, now: Duration) -> bool {
         let mut crashes = self.crashes.borrow_mut();
-        let report = match news {
+        let report = match record {
             SuspectRecord::Removed(key) => return crashes.remove_report(key),
             SuspectRecord::Crashed(report) => report,
         };
@@ -280,8 +279,8 @@
         true
     }
 
-    /// Lets time pass: forgets what is old, and appends what whoever saw it did
-    /// not, if this instance `maintains` the topic.
+    /// Removes expired reports. If this instance `maintains` the topic, also
+    /// appends reports that their reporters did not append.
     pub fn tick(&self, maintains: bool, now: Duration) {
         let expired = self.crashes.borrow_mut().expire(UnixMillis::now());
         gauge!(SUSPECTS).set(self.crashes.borrow().len() as f64);
@@ -291,21 +290,21 @@
         if !maintains {
             return;
         }
-        let mut news: Vec<_> = expired.into_iter().map(SuspectRecord::Removed).collect();
+        let mut records: Vec<_> = expired.into_iter().map(SuspectRecord::Removed).collect();
         let before = now.saturating_sub(APPEND_TAKEOVER_DELAY);
         let missing = self.crashes.borrow().not_stored(before);
-        news.extend(missing.into_iter().map(SuspectRecord::Crashed));
-        self.append(news);
+        records.extend(missing.into_iter().map(SuspectRecord::Crashed));
+        self.append(records);
     }
 
-    /// Appends `news` to the topic. A full ring loses them: the tick repeats
-    /// ends that the topic does not hold, and the next answer drops others.
-    fn append(&self, news: Vec<SuspectRecord>) {
-        if news.is_empty() {
+    /// Appends `records` to the topic. If the ring is full they are lost: the tick
+    /// appends missing reports again, and the next response removes others again.
+    fn append(&self, records: Vec<SuspectRecord>) {
+        if records.is_empty() {
             return;
         }
-        let count = news.len();
-        if self.outbox.try_send(news).is_err() {
+        let count = records.len();
+        if self.outbox.try_send(records).is_err() {
             event!(
                 EventCode::SuspectsNotStored,
                 "records={count} cause=ring_full"
@@ -313,15 +312,15 @@
         }
     }
 
-    fn enqueue(&self, news: Vec<SuspectRecord>) {
-        if news.is_empty() {
+    fn enqueue(&self, records: Vec<SuspectRecord>) {
+        if records.is_empty() {
             return;
         }
-        self.queued.borrow_mut().suspects.extend(news);
+        self.queued.borrow_mut().suspects.extend(records);
         self.has_queued.notify_one();
     }
 
-    /// The next news for the contacts.
+    /// Takes the next notice for the contacts from the queue.
     fn next_notice(&self) -> CrashNotice {
         let mut queued = self.queued.borrow_mut();
         CrashNotice {
@@ -332,7 +331,7 @@
     }
 }
 
-/// Takes the first news out of `queued`; surplus ones are lost.
+/// Takes the first items out of `queued`; items beyond the limit are dropped.
 fn dequeue<T>(queued: &mut Vec<T>) -> Vec<T> {
     let surplus = queued.len().saturating_sub(QUEUED_ITEM_LIMIT);
     queued.drain(..surplus);
@@ -341,8 +340,8 @@
 }
 
 impl<D: RequestDialect> TrafficState<D> {
-    /// The process `start` of a server leaves, as `source` tells: it gets
-    /// nothing new from here, and the other instances learn it.
+    /// Marks the server process `start` as draining, as reported by `source`: this
+    /// instance sends it no new requests, and the other instances are notified.
     pub fn note_draining(&self, start: &ServerStart, source: &str) {
         if !self.servers.borrow_mut().note_draining(start) {
             return;
@@ -356,12 +355,12 @@
         self.suspects.note_draining(start.clone());
     }
 
-    /// Takes over what another instance tells of servers that ended or leave.
-    pub fn apply_crash_notice(&self, news: &CrashNotice) {
-        for start in &news.draining {
+    /// Applies a notice from another instance about crashed and draining servers.
+    pub fn apply_crash_notice(&self, notice: &CrashNotice) {
+        for start in &notice.draining {
             self.note_draining(start, "instance");
         }
-        let servers = self.suspects.merge_notice(news, self.now());
+        let servers = self.suspects.merge_notice(notice, self.now());
         if !servers.is_empty() {
             self.crash_detector.note_crash();
         }
@@ -380,13 +379,13 @@
         }
     }
 
-    /// Whether this instance keeps the topic of suspects tidy.
+    /// Whether this instance maintains the topic of suspects.
     pub fn maintains_suspects(&self) -> bool {
         self.directory.borrow().is_first_for(MAINTAINER_SUBJECT)
     }
 }
 
-/// Logs that the request `id` is sent on suspicion, or refused.
+/// Logs that the request `id` is suspected, or refused by quarantine.
 pub fn log_suspect_status(id: &str, fingerprint: &RequestFingerprint, status: &SuspectStatus) {
     let (code, verdict, summary) = match status {
         SuspectStatus::Clear => return,
@@ -409,42 +408,42 @@
     );
 }
 
-/// Passes news on over the link for as long as the runtime runs.
+/// Sends notices over the peer link until the runtime stops.
 pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
     loop {
-        let news = state.suspects.next_notice();
-        if news.is_empty() {
+        let notice = state.suspects.next_notice();
+        if notice.is_empty() {
             state.suspects.has_queued.notified().await;
             continue;
         }
         let contacts = state.directory.borrow().contacts();
         for contact in contacts {
-            tokio::task::spawn_local(send_notice(Rc::clone(&state), contact, news.clone()));
+            tokio::task::spawn_local(send_notice(Rc::clone(&state), contact, notice.clone()));
         }
         tokio::time::sleep(NOTICE_PAUSE).await;
     }
 }
 
-/// Tells one instance, twice if it does not answer.
+/// Sends a notice to one instance, twice if it does not respond.
 async fn send_notice<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
-    news: CrashNotice,
+    notice: CrashNotice,
 ) {
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
-    if peers::tell_endings(&link, contact, &news).await {
+    if peers::tell_endings(&link, contact, &notice).await {
         return;
     }
     tokio::time::sleep(RESEND_PAUSE).await;
-    if !peers::tell_endings(&link, contact, &news).await {
+    if !peers::tell_endings(&link, contact, &notice).await {
         event!(
             EventCode::SuspectsNotTold,
             "peer={contact} servers={} suspects={} leaving={}",
-            news.servers.len(),
-            news.suspects.len(),
-            news.draining.len()
+            notice.servers.len(),
+            notice.suspects.len(),
+            notice.draining.len()
         );
     }
 }
