--- a/crates/hibiscus-traffic/src/answer.rs
+++ b/crates/hibiscus-traffic/src/answer.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use http::header;
 
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::relay::AnswerBody;
 
 /// Part of the time until there is a chance over which returns are spread.
@@ -20,7 +20,7 @@
 
 /// Why a request gets an answer of this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum OwnReason {
+pub enum LocalReason {
     /// No configuration is known yet.
     NoConfig,
     /// The head cannot be understood.
@@ -56,7 +56,7 @@
     TimedOut,
 }
 
-impl OwnReason {
+impl LocalReason {
     /// The status that tells it. Only reasons before the first byte to a
     /// server, or after a server's own proof, map to 503.
     pub fn status(self) -> StatusCode {
@@ -118,16 +118,16 @@
 
 /// A refusal of this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnRefusal {
+pub struct LocalRefusal {
     /// Why.
-    pub reason: OwnReason,
+    pub reason: LocalReason,
     /// When there is a chance again, if that is known; else the usual time of
     /// the reason.
     pub chance: Option<Duration>,
 }
 
-impl From<OwnReason> for OwnRefusal {
-    fn from(reason: OwnReason) -> Self {
+impl From<LocalReason> for LocalRefusal {
+    fn from(reason: LocalReason) -> Self {
         Self {
             reason,
             chance: None,
@@ -135,7 +135,7 @@
     }
 }
 
-impl OwnRefusal {
+impl LocalRefusal {
     /// When the caller may try again: not before there is a chance, and not
     /// all callers at the same moment.
     pub fn retry_after(&self) -> Option<Duration> {
@@ -147,9 +147,9 @@
 }
 
 /// The answer that tells `refusal` for the request `id`.
-pub fn own_answer<D: RequestDialect>(
+pub fn own_answer<D: WireFormat>(
     dialect: &D,
-    refusal: OwnRefusal,
+    refusal: LocalRefusal,
     id: &str,
 ) -> Response<AnswerBody> {
     let reason = refusal.reason;
@@ -164,7 +164,7 @@
             headers.insert(header::RETRY_AFTER, after);
         }
     }
-    if reason == OwnReason::Stopping {
+    if reason == LocalReason::Stopping {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     answer
--- a/crates/hibiscus-traffic/src/connect.rs
+++ b/crates/hibiscus-traffic/src/connect.rs
@@ -15,8 +15,8 @@
 use tokio::task::JoinHandle;
 
 use crate::bounded::BoundedStream;
-use crate::bounded::HeadCount;
-use crate::idle::IdleLink;
+use crate::bounded::HeadByteCounter;
+use crate::idle::IdleConnection;
 
 /// Time for a new connection: links take a few milliseconds and a server 1 ms.
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(400);
@@ -74,7 +74,7 @@
 #[derive(Debug)]
 pub struct ServerLink {
     sender: SendRequest<Full<Bytes>>,
-    head: HeadCount,
+    head: HeadByteCounter,
     task: JoinHandle<()>,
     idle_limit: Duration,
     parked: Option<Instant>,
@@ -97,7 +97,7 @@
             Err(_elapsed) => return Err(ConnectFault::Silent),
         };
         set_options(&stream);
-        let head = HeadCount::default();
+        let head = HeadByteCounter::default();
         let stream = BoundedStream::new(stream, head.clone());
         let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let (sender, connection) = shaken.map_err(|_closed| ConnectFault::Refused)?;
@@ -120,7 +120,7 @@
     }
 
     /// Counts the bytes of the next answer's head.
-    pub fn head(&self) -> &HeadCount {
+    pub fn head(&self) -> &HeadByteCounter {
         &self.head
     }
 
@@ -135,7 +135,7 @@
     }
 }
 
-impl IdleLink for ServerLink {
+impl IdleConnection for ServerLink {
     fn is_usable(&self) -> bool {
         let rested = self.parked.map_or(Duration::ZERO, |since| since.elapsed());
         !self.sender.is_closed() && rested < self.idle_limit
--- a/crates/hibiscus-traffic/src/crash_detector.rs
+++ b/crates/hibiscus-traffic/src/crash_detector.rs
@@ -27,7 +27,7 @@
 use crate::callers::BodyBytes;
 use crate::connect;
 use crate::connect::PortState;
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::model::ServerStart;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
@@ -282,7 +282,7 @@
 }
 
 /// Checks servers that broke connections, until the runtime stops.
-pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn run<D: WireFormat>(state: Rc<TrafficState<D>>) {
     loop {
         state.crash_detector.has_new.notified().await;
         for server in state.crash_detector.take_unchecked() {
@@ -292,7 +292,7 @@
 }
 
 /// Checks whether `server` has crashed, and reports the crash.
-async fn check_server<D: RequestDialect>(state: Rc<TrafficState<D>>, server: Rc<ServerHandle>) {
+async fn check_server<D: WireFormat>(state: Rc<TrafficState<D>>, server: Rc<ServerHandle>) {
     tokio::time::sleep(CANDIDATE_GATHER_TIME).await;
     let port = if server.has_open_link() {
         PortState::Open
--- a/crates/hibiscus-traffic/src/flight.rs
+++ b/crates/hibiscus-traffic/src/flight.rs
@@ -7,7 +7,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::purse::TokenHold;
+use hibiscus_ledger::account::quota::QuotaReservation;
 use hibiscus_request::fingerprint::RequestFingerprint;
 use hibiscus_routing::placement::PartTokens;
 use hibiscus_types::BudgetName;
@@ -18,7 +18,7 @@
 use crate::connect::ServerLink;
 use crate::crash_detector::StreamCandidate;
 use crate::measures::RequestOutcome;
-use crate::measures::TrafficMeasures;
+use crate::measures::TrafficMetrics;
 use crate::model::RequestKind;
 use crate::relay::RelayFault;
 use crate::servers::ChosenServer;
@@ -33,7 +33,7 @@
 pub struct RequestCharge {
     budgets: BudgetHandle,
     budget: BudgetName,
-    hold: TokenHold,
+    hold: QuotaReservation,
     prompt: u64,
     sent: Cell<bool>,
     delivered: Cell<u64>,
@@ -41,7 +41,12 @@
 
 impl RequestCharge {
     /// The charge of a request with `prompt` tokens that `hold` pays for.
-    pub fn new(budgets: BudgetHandle, budget: BudgetName, hold: TokenHold, prompt: u64) -> Self {
+    pub fn new(
+        budgets: BudgetHandle,
+        budget: BudgetName,
+        hold: QuotaReservation,
+        prompt: u64,
+    ) -> Self {
         Self {
             budgets,
             budget,
@@ -79,7 +84,7 @@
 /// A request at a server. Dropping it before its answer was whole closes the
 /// connection, which tells the server to stop.
 #[derive(Debug)]
-pub struct ServerFlight {
+pub struct InFlightRequest {
     server: Rc<ServerHandle>,
     link: Option<ServerLink>,
     prefill_tokens: Option<u64>,
@@ -87,7 +92,7 @@
     trial: Option<bool>,
 }
 
-impl ServerFlight {
+impl InFlightRequest {
     /// Counts a request with the shared `parts` at the chosen server, from
     /// before there is a connection until the flight is dropped.
     pub fn begin(chosen: &ChosenServer, parts: &[PartTokens], now: Duration) -> Self {
@@ -160,7 +165,7 @@
 /// Time for a connection to become ready for the next request.
 const LINK_REST: Duration = Duration::from_millis(500);
 
-impl Drop for ServerFlight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.note_prefill_done();
         if let Some(trial) = self.trial {
@@ -212,9 +217,9 @@
     /// When its last event passed.
     pub heard: Option<Instant>,
     /// Where its times are counted.
-    pub measures: Rc<TrafficMeasures>,
+    pub measures: Rc<TrafficMetrics>,
     /// Where it runs.
-    pub flight: ServerFlight,
+    pub flight: InFlightRequest,
     /// What it costs.
     pub charge: Option<Rc<RequestCharge>>,
     /// Output tokens in an event.
--- a/crates/hibiscus-traffic/src/lib.rs
+++ b/crates/hibiscus-traffic/src/lib.rs
@@ -17,7 +17,7 @@
 //!   watched ([`probe`]) and passes on what watchers find.
 //! - [`measures`] counts what passes and [`tally`] the work for the fleet, for
 //!   the operators' metrics; [`machine`] tells what the process uses.
-//! - [`shares`] divides the machine's memory among them; [`relief`] says what to
+//! - [`shares`] divides the machine's memory among them; [`memory_pressure`] says what to
 //!   give up as it runs out.
 //! - [`relays`] says which instances read the operators' configuration and the
 //!   servers' entries as they come, [`change`] and [`server_changes`] what they pass
@@ -25,7 +25,7 @@
 //! - [`updates`] is the ring by which the other duties' threads tell news;
 //!   everything is decided on this thread, so nothing here is locked.
 //!
-//! How requests are spelled is a [`dialect::RequestDialect`]; the life cycle
+//! How requests are spelled is a [`dialect::WireFormat`]; the life cycle
 //! knows no protocol beyond HTTP.
 
 pub mod answer;
@@ -46,15 +46,14 @@
 pub mod machine;
 pub mod measures;
 pub mod members;
+pub mod memory_pressure;
 pub mod model;
 pub mod peers;
 pub mod port;
-pub mod pressure;
 pub mod probe;
 pub mod recovery;
 pub mod relay;
 pub mod relays;
-pub mod relief;
 pub mod retries;
 pub mod send;
 pub mod server_changes;
@@ -68,3 +67,4 @@
 pub mod table;
 pub mod tally;
 pub mod updates;
+pub mod usage_log;
--- a/crates/hibiscus-traffic/src/life.rs
+++ b/crates/hibiscus-traffic/src/life.rs
@@ -2,7 +2,7 @@
 //!
 //! `admission` finds route and team and reads the body, `reservation` sets the
 //! tokens aside, `forwarding` sends the request until a server answers. A step
-//! that fails names the [`OwnRefusal`] that the caller is told.
+//! that fails names the [`LocalRefusal`] that the caller is told.
 
 mod admission;
 mod forwarding;
@@ -19,10 +19,10 @@
 use hyper::body::Incoming;
 
 use crate::answer;
-use crate::answer::OwnReason;
-use crate::answer::OwnRefusal;
+use crate::answer::LocalReason;
+use crate::answer::LocalRefusal;
 use crate::callers::CallerRequest;
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::flight::RequestProgress;
 use crate::life::admission::AdmittedRequest;
 use crate::life::forwarding::ForwardedAnswer;
@@ -32,7 +32,7 @@
 use crate::state::TrafficState;
 
 /// Result of a step; the reason is the answer.
-type Result<T> = std::result::Result<T, OwnRefusal>;
+type Result<T> = std::result::Result<T, LocalRefusal>;
 
 /// What is known of a request so far, for the log and the metrics.
 #[derive(Debug)]
@@ -75,7 +75,7 @@
 }
 
 /// Serves one request; every way out is an answer.
-pub async fn serve<D: RequestDialect>(
+pub async fn serve<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     request: Request<Incoming>,
     caller: CallerRequest,
@@ -108,20 +108,20 @@
 }
 
 /// Admits the request, reserves its tokens and forwards it.
-async fn work<D: RequestDialect>(
+async fn work<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     request: Request<Incoming>,
     known: &mut KnownRequest,
 ) -> Result<(AdmittedRequest, ForwardedAnswer)> {
     let (head, body) = request.into_parts();
     let signs = state.dialect.caller_signs(&head.headers);
-    let signs = signs.map_err(|_fault| OwnReason::BadRequest)?;
+    let signs = signs.map_err(|_fault| LocalReason::BadRequest)?;
     known.id.clone_from(&signs.id);
     if state.is_closing() {
-        return Err(OwnReason::Stopping.into());
+        return Err(LocalReason::Stopping.into());
     }
     if !state.has_room() {
-        return Err(OwnReason::Overloaded.into());
+        return Err(LocalReason::Overloaded.into());
     }
     let admitted = admission::admit(state, signs, head, body, known).await?;
     forwarding::check_suspect_status(state, &admitted)?;
@@ -132,9 +132,9 @@
 }
 
 /// Logs, counts and makes an answer of this instance.
-fn refuse<D: RequestDialect>(
+fn refuse<D: WireFormat>(
     state: &TrafficState<D>,
-    refusal: OwnRefusal,
+    refusal: LocalRefusal,
     known: &KnownRequest,
 ) -> Response<AnswerBody> {
     let reason = refusal.reason;
--- a/crates/hibiscus-traffic/src/life/reservation.rs
+++ b/crates/hibiscus-traffic/src/life/reservation.rs
@@ -5,10 +5,10 @@
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
 
-use crate::answer::OwnReason;
-use crate::answer::OwnRefusal;
+use crate::answer::LocalReason;
+use crate::answer::LocalRefusal;
 use crate::budgets::TokenRefusal;
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::flight::RequestCharge;
 use crate::life::Result;
 use crate::life::admission::AdmittedRequest;
@@ -16,7 +16,7 @@
 use crate::supply;
 
 /// Logs what was held when a request got no tokens.
-pub(super) fn log_shortage<D: RequestDialect>(state: &TrafficState<D>, admitted: &AdmittedRequest) {
+pub(super) fn log_shortage<D: WireFormat>(state: &TrafficState<D>, admitted: &AdmittedRequest) {
     let Some(team) = &admitted.team else {
         return;
     };
@@ -28,7 +28,7 @@
 }
 
 /// Sets aside the most that the request may cost.
-pub(super) async fn reserve<D: RequestDialect>(
+pub(super) async fn reserve<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     admitted: &AdmittedRequest,
 ) -> Result<Option<Rc<RequestCharge>>> {
@@ -42,12 +42,12 @@
     let budget = BudgetName::new(team.name.as_str());
     let tokens = TokenCount::new(most);
     let hold = supply::reserve(state, &budget, tokens, admitted.until).await;
-    let hold = hold.map_err(|refusal| OwnRefusal {
+    let hold = hold.map_err(|refusal| LocalRefusal {
         reason: match refusal {
-            TokenRefusal::Spent => OwnReason::BudgetSpent,
-            TokenRefusal::Unconfirmed | TokenRefusal::Later(_) => OwnReason::BudgetUnconfirmed,
+            TokenRefusal::Spent => LocalReason::BudgetSpent,
+            TokenRefusal::Unconfirmed | TokenRefusal::Later(_) => LocalReason::BudgetUnconfirmed,
         },
-        chance: refusal.chance(),
+        chance: refusal.retry_after(),
     })?;
     let charge = RequestCharge::new(
         state.budgets.clone(),
--- a/crates/hibiscus-traffic/src/measures.rs
+++ b/crates/hibiscus-traffic/src/measures.rs
@@ -11,7 +11,7 @@
 use metrics::gauge;
 use metrics::histogram;
 
-use crate::answer::OwnReason;
+use crate::answer::LocalReason;
 use crate::machine::MachineUse;
 use crate::model::RequestKind;
 
@@ -70,13 +70,13 @@
 
 /// Handles of one kind of request.
 #[derive(Debug)]
-struct KindMeasures {
+struct KindMetrics {
     first_event: Histogram,
     total: Histogram,
     outcomes: [Counter; RequestOutcome::ALL.len()],
 }
 
-impl KindMeasures {
+impl KindMetrics {
     fn new(kind: &'static str) -> Self {
         let outcome = |outcome: RequestOutcome| counter!(REQUESTS, "kind" => kind, "outcome" => outcome.word());
         Self {
@@ -89,24 +89,24 @@
 
 /// Handles of the request path.
 #[derive(Debug)]
-pub struct TrafficMeasures {
-    kinds: [KindMeasures; 4],
-    unknown: KindMeasures,
+pub struct TrafficMetrics {
+    kinds: [KindMetrics; 4],
+    unknown: KindMetrics,
     gap: Histogram,
     lateness: Histogram,
     retries: Counter,
 }
 
-impl Default for TrafficMeasures {
+impl Default for TrafficMetrics {
     fn default() -> Self {
         Self {
             kinds: [
-                KindMeasures::new("idempotent"),
-                KindMeasures::new("once"),
-                KindMeasures::new("stream"),
-                KindMeasures::new("resumable_stream"),
+                KindMetrics::new("idempotent"),
+                KindMetrics::new("once"),
+                KindMetrics::new("stream"),
+                KindMetrics::new("resumable_stream"),
             ],
-            unknown: KindMeasures::new("unknown"),
+            unknown: KindMetrics::new("unknown"),
             gap: histogram!(EVENT_GAP),
             lateness: histogram!(TIMER_LATENESS),
             retries: counter!(RETRIES),
@@ -114,7 +114,7 @@
     }
 }
 
-impl TrafficMeasures {
+impl TrafficMetrics {
     /// The first event or byte of an answer came `after` its request.
     pub fn first_event(&self, kind: RequestKind, after: Duration) {
         self.of(Some(kind)).first_event.record(after);
@@ -144,11 +144,11 @@
     }
 
     /// This instance answered itself.
-    pub fn own_answer(&self, reason: OwnReason) {
+    pub fn own_answer(&self, reason: LocalReason) {
         counter!(OWN_ANSWERS, "reason" => reason.word()).increment(1);
     }
 
-    fn of(&self, kind: Option<RequestKind>) -> &KindMeasures {
+    fn of(&self, kind: Option<RequestKind>) -> &KindMetrics {
         match kind {
             None => &self.unknown,
             Some(RequestKind::Idempotent) => &self.kinds[0],
@@ -161,7 +161,7 @@
 
 /// What is the case at one moment.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TrafficLevels {
+pub struct TrafficGauges {
     /// Requests in progress.
     pub in_progress: usize,
     /// Callers' connections.
@@ -197,7 +197,7 @@
     pub account_lag: u64,
 }
 
-impl TrafficLevels {
+impl TrafficGauges {
     /// Shows the levels on the metrics' address.
     pub fn show(&self) {
         let (serving, leaving) = self.servers;
--- a/crates/hibiscus-traffic/src/members.rs
+++ b/crates/hibiscus-traffic/src/members.rs
@@ -15,7 +15,7 @@
 use hibiscus_types::IncarnationId;
 use tokio::time::Instant;
 
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::model::InstanceEntry;
 use crate::peers;
 use crate::probe;
@@ -31,7 +31,7 @@
 type RunningWatches = Rc<RefCell<BTreeSet<IncarnationId>>>;
 
 /// Watches others at `path` for as long as the runtime runs.
-pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>, path: &'static str) {
+pub async fn keep<D: WireFormat>(state: Rc<TrafficState<D>>, path: &'static str) {
     let running = RunningWatches::default();
     let mut next_news = Instant::now();
     let mut next_exchange = Instant::now() + EXCHANGE_PAUSE;
@@ -59,7 +59,7 @@
 }
 
 /// Starts to ask those that this instance is to watch and does not yet.
-fn start_watches<D: RequestDialect>(
+fn start_watches<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     running: &RunningWatches,
     path: &'static str,
@@ -75,7 +75,7 @@
 }
 
 /// Asks one process for as long as this instance is to watch it.
-async fn watch<D: RequestDialect>(
+async fn watch<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     entry: InstanceEntry,
     path: &'static str,
@@ -89,14 +89,14 @@
 }
 
 /// Passes news on to all contacts.
-fn tell_contacts<D: RequestDialect>(state: &Rc<TrafficState<D>>, message: &SilenceMessage) {
+fn tell_contacts<D: WireFormat>(state: &Rc<TrafficState<D>>, message: &SilenceMessage) {
     for contact in state.directory.borrow().contacts() {
         tokio::task::spawn_local(tell(Rc::clone(state), contact, message.clone()));
     }
 }
 
 /// Repairs what one of the contacts and this instance missed.
-fn exchange<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
+fn exchange<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     let mut directory = state.directory.borrow_mut();
     let contact = fastrand::choice(directory.contacts());
     let Some(contact) = contact.filter(|_contact| directory.is_large()) else {
@@ -107,7 +107,7 @@
 }
 
 /// Tells one instance, and takes its answer over.
-async fn tell<D: RequestDialect>(
+async fn tell<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
     message: SilenceMessage,
--- a/crates/hibiscus-traffic/src/port.rs
+++ b/crates/hibiscus-traffic/src/port.rs
@@ -22,7 +22,7 @@
 
 use crate::callers::CallerConnection;
 use crate::connect;
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::life;
 use crate::relay::AnswerBody;
 use crate::state::TrafficState;
@@ -53,7 +53,7 @@
 
 /// Accepts callers' connections until the port is closed at the end of a
 /// planned stop. What the system has accepted by then is served too.
-pub async fn serve_callers<D: RequestDialect>(listener: TcpListener, state: Rc<TrafficState<D>>) {
+pub async fn serve_callers<D: WireFormat>(listener: TcpListener, state: Rc<TrafficState<D>>) {
     loop {
         let accepted = tokio::select! {
             biased;
@@ -79,7 +79,7 @@
 /// Answers calls about this instance with `answer`.
 pub async fn serve_calls<D, F>(listener: TcpListener, state: Rc<TrafficState<D>>, answer: F)
 where
-    D: RequestDialect,
+    D: WireFormat,
     F: Fn(&TrafficState<D>, &Request<Incoming>) -> Response<AnswerBody> + Clone + 'static,
 {
     loop {
@@ -120,7 +120,7 @@
 }
 
 /// Serves the requests of one connection.
-async fn serve_caller<D: RequestDialect>(
+async fn serve_caller<D: WireFormat>(
     stream: TcpStream,
     caller: CallerConnection,
     state: Rc<TrafficState<D>>,
--- a/crates/hibiscus-traffic/src/probe.rs
+++ b/crates/hibiscus-traffic/src/probe.rs
@@ -14,12 +14,12 @@
 use http_body_util::Full;
 
 use crate::connect::ServerLink;
-use crate::dialect::RequestDialect;
-use crate::idle::IdleLink;
+use crate::dialect::WireFormat;
+use crate::idle::IdleConnection;
 use crate::model::InstanceEntry;
 use crate::state::TrafficState;
-use crate::tally::QuestionOutcome;
-use crate::tally::QuestionSubject;
+use crate::tally::PeerRequestKind;
+use crate::tally::PeerRequestOutcome;
 use crate::updates::TrafficUpdate;
 
 /// Time between two probes, short enough that callers learn of an instance's crash
@@ -36,7 +36,7 @@
 
 /// Probes the process that announced `entry` at `path` for as long as this
 /// instance is assigned to watch it.
-pub async fn watch<D: RequestDialect>(
+pub async fn watch<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     entry: InstanceEntry,
     path: &'static str,
@@ -48,13 +48,13 @@
         let response = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
         let serves = matches!(response, Ok(Some(StatusCode::OK)));
         let outcome = match response {
-            Ok(Some(_status)) if serves => QuestionOutcome::Answered,
-            Ok(Some(_status)) => QuestionOutcome::Refused,
-            _ => QuestionOutcome::Unanswered,
+            Ok(Some(_status)) if serves => PeerRequestOutcome::Answered,
+            Ok(Some(_status)) => PeerRequestOutcome::Refused,
+            _ => PeerRequestOutcome::Unanswered,
         };
         state
             .tally
-            .count_question(QuestionSubject::Readiness, outcome);
+            .count_peer_request(PeerRequestKind::Readiness, outcome);
         if !matches!(response, Ok(Some(_))) {
             link = None;
         }
@@ -72,10 +72,7 @@
 }
 
 /// Waits until the next probe is due.
-async fn wait_for_next_request<D: RequestDialect>(
-    state: &TrafficState<D>,
-    link: Option<&ServerLink>,
-) {
+async fn wait_for_next_request<D: WireFormat>(state: &TrafficState<D>, link: Option<&ServerLink>) {
     if !state.directory.borrow().is_large() {
         tokio::time::sleep(REQUEST_INTERVAL).await;
         return;
--- a/crates/hibiscus-traffic/src/relay.rs
+++ b/crates/hibiscus-traffic/src/relay.rs
@@ -16,7 +16,7 @@
 use tokio::time::Sleep;
 
 use crate::flight::FlightWatch;
-use crate::stream::EventFollower;
+use crate::stream::EventParser;
 
 /// Time after the deadline within which what has arrived is passed on: an
 /// answer that is ready is delivered, also when it is late.
@@ -52,21 +52,21 @@
 
 /// A stream on its way from a server to a caller. Dropping it before its end
 /// drops the server's connection.
-pub struct StreamRelay {
+pub struct StreamForwarder {
     body: Incoming,
-    follower: EventFollower,
+    follower: EventParser,
     deadline: Pin<Box<Sleep>>,
     watcher: FlightWatch,
     ended: bool,
 }
 
-impl StreamRelay {
+impl StreamForwarder {
     /// Relays `body`, whose last event before it was `after`, until
     /// `deadline`.
     pub fn new(body: Incoming, after: Option<u64>, deadline: Sleep, watcher: FlightWatch) -> Self {
         Self {
             body,
-            follower: EventFollower::after(after),
+            follower: EventParser::after(after),
             deadline: Box::pin(deadline),
             watcher,
             ended: false,
@@ -124,7 +124,7 @@
     }
 }
 
-impl Drop for StreamRelay {
+impl Drop for StreamForwarder {
     fn drop(&mut self) {
         if !self.ended {
             self.watcher.left();
@@ -137,7 +137,7 @@
     /// All bytes are there.
     Whole(Option<Bytes>),
     /// A stream.
-    Stream(Box<StreamRelay>),
+    Stream(Box<StreamForwarder>),
 }
 
 impl AnswerBody {
--- a/crates/hibiscus-traffic/src/send.rs
+++ b/crates/hibiscus-traffic/src/send.rs
@@ -19,10 +19,10 @@
 
 use crate::connect::ConnectFault;
 use crate::connect::ServerLink;
-use crate::dialect::AnswerSigns;
-use crate::dialect::RequestDialect;
-use crate::flight::ServerFlight;
-use crate::idle::IdleLink;
+use crate::dialect::ResponseHeaders;
+use crate::dialect::WireFormat;
+use crate::flight::InFlightRequest;
+use crate::idle::IdleConnection;
 use crate::servers::ServerHandle;
 
 /// New connections to servers for requests, by outcome.
@@ -40,9 +40,9 @@
     /// Head and body.
     pub answer: Response<Incoming>,
     /// What the head says.
-    pub signs: AnswerSigns,
+    pub signs: ResponseHeaders,
     /// The request at the server.
-    pub flight: ServerFlight,
+    pub flight: InFlightRequest,
 }
 
 /// Why a request that was sent got no answer that is of use.
@@ -141,9 +141,9 @@
 
 /// Sends `outgoing` to the server of `flight`. One that is silent for long is
 /// given up only while `has_other` says that the request can go on elsewhere.
-pub async fn send<D: RequestDialect>(
+pub async fn send<D: WireFormat>(
     dialect: &D,
-    mut flight: ServerFlight,
+    mut flight: InFlightRequest,
     outgoing: &OutgoingRequest<'_>,
     has_other: impl Fn() -> bool,
 ) -> SendReport {
@@ -226,8 +226,8 @@
 /// Decides what the head of an answer proves.
 fn judge(
     answer: Response<Incoming>,
-    signs: AnswerSigns,
-    mut flight: ServerFlight,
+    signs: ResponseHeaders,
+    mut flight: InFlightRequest,
     id: &str,
 ) -> SendOutcome {
     let server = Rc::clone(flight.server());
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -26,8 +26,8 @@
 use crate::availability_table::AvailabilityTable;
 use crate::availability_table::SharedAvailability;
 use crate::connect::ServerLink;
-use crate::idle::IdleLinks;
-use crate::idle::IdleTicket;
+use crate::idle::IdleConnectionId;
+use crate::idle::IdleConnections;
 use crate::model::ServerEntry;
 use crate::model::ServerLoadReport;
 use crate::model::ServerPhase;
@@ -75,9 +75,9 @@
     jitter: f64,
     prefill: RefCell<PrefillTracker>,
     /// Idle connections, the most recently used last.
-    idle: RefCell<Vec<IdleTicket>>,
+    idle: RefCell<Vec<IdleConnectionId>>,
     idle_limit: Cell<usize>,
-    idle_links: Rc<IdleLinks<ServerLink>>,
+    idle_links: Rc<IdleConnections<ServerLink>>,
 }
 
 impl ServerHandle {
@@ -85,7 +85,7 @@
         entry: ServerEntry,
         availability: SharedAvailability,
         own: &InstanceName,
-        idle_links: &Rc<IdleLinks<ServerLink>>,
+        idle_links: &Rc<IdleConnections<ServerLink>>,
     ) -> Self {
         Self {
             jitter: placement::jitter_of(own.as_str(), entry.name.as_str()),
@@ -306,7 +306,7 @@
 #[derive(Debug)]
 pub struct ServerPool {
     own: InstanceName,
-    idle_links: Rc<IdleLinks<ServerLink>>,
+    idle_links: Rc<IdleConnections<ServerLink>>,
     availability_table: AvailabilityTable,
     by_name: HashMap<ServerName, Rc<ServerHandle>>,
     by_service: HashMap<ServiceName, Vec<Rc<ServerHandle>>>,
@@ -331,7 +331,7 @@
     pub fn new(own: InstanceName, idle: usize) -> Self {
         Self {
             own,
-            idle_links: Rc::new(IdleLinks::new(idle)),
+            idle_links: Rc::new(IdleConnections::new(idle)),
             availability_table: AvailabilityTable::default(),
             by_name: HashMap::new(),
             by_service: HashMap::new(),
@@ -339,7 +339,7 @@
     }
 
     /// The idle connections to all servers.
-    pub fn idle_links(&self) -> &IdleLinks<ServerLink> {
+    pub fn idle_links(&self) -> &IdleConnections<ServerLink> {
         &self.idle_links
     }
 
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -18,25 +18,24 @@
 use metrics::counter;
 use tokio::sync::Notify;
 
-use crate::budgets::BudgetDesk;
 use crate::budgets::BudgetHandle;
+use crate::budgets::BudgetManager;
 use crate::callers::CallerRegistry;
 use crate::crash_detector::CrashDetector;
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::directory::InstanceDirectory;
-use crate::holders::HolderRefusals;
+use crate::holders::HolderFailures;
 use crate::holders::HolderTable;
 use crate::machine::MachineLimits;
 use crate::machine::MachineUse;
 use crate::measures::CONFIG_VERSIONS;
-use crate::measures::TrafficLevels;
-use crate::measures::TrafficMeasures;
+use crate::measures::TrafficGauges;
+use crate::measures::TrafficMetrics;
+use crate::memory_pressure::MemoryPressure;
+use crate::memory_pressure::PressureGauge;
 use crate::model::FleetConfig;
 use crate::model::InstanceEntry;
-use crate::pressure::PressureWatch;
 use crate::relays;
-use crate::relief::MemoryPressure;
-use crate::relief::PressureGauge;
 use crate::retries::RetryCounter;
 use crate::server_registry::RegistryChange;
 use crate::server_registry::ServerRegistry;
@@ -50,6 +49,7 @@
 use crate::tally::WorkTally;
 use crate::updates::ConfigArrival;
 use crate::updates::TrafficUpdate;
+use crate::usage_log::UsageLogger;
 
 /// Time for a head while no configuration is known: the usual limit.
 const FIRST_HEAD_LIMIT: Duration = Duration::from_secs(3);
@@ -62,7 +62,7 @@
     /// Where this instance is.
     pub data_centre: DataCentre,
     /// The budgets.
-    pub budgets: BudgetDesk,
+    pub budgets: BudgetManager,
     /// The retries.
     pub retries: RetryCounter,
     /// The instances.
@@ -92,7 +92,7 @@
     /// The instances.
     pub directory: RefCell<InstanceDirectory>,
     /// Holders that lately had no tokens.
-    pub refusals: RefCell<HolderRefusals>,
+    pub refusals: RefCell<HolderFailures>,
     holders: RefCell<HolderTable>,
     /// Budgets of the configuration in force.
     budget_count: Cell<usize>,
@@ -110,7 +110,7 @@
     /// Counts of the work for the fleet.
     pub tally: Rc<WorkTally>,
     /// Counters and histograms.
-    pub measures: Rc<TrafficMeasures>,
+    pub measures: Rc<TrafficMetrics>,
     /// Finds out which servers ended.
     pub crash_detector: Rc<CrashDetector>,
     /// The requests under which servers ended.
@@ -134,18 +134,18 @@
     port_closed: Cell<bool>,
     port_close: Notify,
     started: Instant,
-    pressure: PressureWatch,
+    pressure: UsageLogger,
     bounds: MemoryShares,
     gauge: RefCell<PressureGauge>,
 }
 
-impl<D: RequestDialect> TrafficState<D> {
+impl<D: WireFormat> TrafficState<D> {
     /// State before any news.
     pub fn new(parts: TrafficParts<D>) -> Self {
         let own = parts.directory.own().name.clone();
         Self {
             tally: Rc::clone(parts.budgets.tally()),
-            pressure: PressureWatch::new(parts.limits),
+            pressure: UsageLogger::new(parts.limits),
             bounds: parts.bounds,
             gauge: RefCell::new(PressureGauge::new(parts.bounds.memory)),
             dialect: parts.dialect,
@@ -305,7 +305,7 @@
                 }
                 self.review_waiting();
             }
-            TrafficUpdate::AccountsEnd(end) => self.budgets.note_end(end),
+            TrafficUpdate::AccountsEnd(end) => self.budgets.set_stream_end(end),
             TrafficUpdate::AccountsCurrent => {
                 self.budgets.recover();
                 self.review_budgets();
@@ -338,7 +338,7 @@
             }
             TrafficUpdate::Stop => {
                 self.stopping.set(Some(Instant::now()));
-                self.budgets.begin_stop();
+                self.budgets.begin_shutdown();
                 self.review_budgets();
                 self.directory.borrow_mut().set_ready(false);
             }
@@ -356,7 +356,7 @@
         let taken = Instant::now();
         counter!(CONFIG_VERSIONS, "source" => arrival.source.word()).increment(1);
         self.budgets.set_totals(&config);
-        self.budget_count.set(self.budgets.count());
+        self.budget_count.set(self.budgets.budget_count());
         let table = Rc::new(RouteTable::new(Arc::clone(&config)));
         *self.table.borrow_mut() = Some(table);
         self.start.note_config();
@@ -447,7 +447,7 @@
         let directory = self.directory.borrow();
         let servers = self.servers.borrow();
         let instances = directory.may_serve();
-        let levels = TrafficLevels {
+        let levels = TrafficGauges {
             in_progress: self.in_progress(),
             connections: self.callers.len(),
             instances: directory.live(),
@@ -462,8 +462,8 @@
             used: MachineUse::read(),
             body_bytes: self.callers.body_bytes(),
             idle_links: servers.idle_links().len(),
-            accounts: self.budgets.accounts(),
-            account_lag: self.budgets.lag(),
+            accounts: self.budgets.account_count(),
+            account_lag: self.budgets.unread_records(),
         };
         levels.show();
         self.tally.show();
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -32,7 +32,7 @@
 
 use crate::crash_detector::CrashCandidate;
 use crate::crash_detector::RequestIdentity;
-use crate::dialect::RequestDialect;
+use crate::dialect::WireFormat;
 use crate::model::ServerStart;
 use crate::peers;
 use crate::servers::ServerHandle;
@@ -339,7 +339,7 @@
     queued.drain(..count).collect()
 }
 
-impl<D: RequestDialect> TrafficState<D> {
+impl<D: WireFormat> TrafficState<D> {
     /// Marks the server process `start` as draining, as reported by `source`: this
     /// instance sends it no new requests, and the other instances are notified.
     pub fn note_draining(&self, start: &ServerStart, source: &str) {
@@ -409,7 +409,7 @@
 }
 
 /// Sends notices over the peer link until the runtime stops.
-pub async fn run<D: RequestDialect>(state: Rc<TrafficState<D>>) {
+pub async fn run<D: WireFormat>(state: Rc<TrafficState<D>>) {
     loop {
         let notice = state.suspects.next_notice();
         if notice.is_empty() {
@@ -425,7 +425,7 @@
 }
 
 /// Sends a notice to one instance, twice if it does not respond.
-async fn send_notice<D: RequestDialect>(
+async fn send_notice<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
     notice: CrashNotice,
--- a/crates/hibiscus-traffic/tests/parts.rs
+++ b/crates/hibiscus-traffic/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hibiscus_traffic::answer::OwnReason;
+use hibiscus_traffic::answer::LocalReason;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::model::CallerLimits;
 use hibiscus_traffic::model::FleetConfig;
@@ -14,7 +14,7 @@
 use hibiscus_traffic::model::WeightedService;
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
-use hibiscus_traffic::stream::EventFollower;
+use hibiscus_traffic::stream::EventParser;
 use hibiscus_traffic::table;
 use hibiscus_traffic::table::RouteTable;
 use hibiscus_types::IncarnationId;
@@ -24,7 +24,7 @@
 fn events_are_counted_however_their_bytes_are_cut() {
     let bytes = b"id: 1\ndata: x\n\nid: 2\r\ndata: y\r\n\r\n: note\n\nid: 3\n\n";
     for size in [1, 2, 7, bytes.len()] {
-        let mut follower = EventFollower::default();
+        let mut follower = EventParser::default();
         for piece in bytes.chunks(size) {
             follower.take(piece);
         }
@@ -36,16 +36,16 @@
 
 #[test]
 fn a_missing_a_repeated_and_a_cut_event_show() {
-    let mut gap = EventFollower::default();
+    let mut gap = EventParser::default();
     gap.take(b"id: 1\n\nid: 3\n\n");
     assert!(gap.is_disordered());
-    let mut twice = EventFollower::default();
+    let mut twice = EventParser::default();
     twice.take(b"id: 1\n\nid: 1\n\n");
     assert!(twice.is_disordered());
-    let mut after = EventFollower::after(Some(4));
+    let mut after = EventParser::after(Some(4));
     after.take(b"id: 1\n\n");
     assert!(after.is_disordered());
-    let mut cut = EventFollower::default();
+    let mut cut = EventParser::default();
     cut.take(b"id: 1\n\nid: 2\nda");
     assert!(!cut.is_at_boundary());
 }
@@ -261,15 +261,15 @@
 /// Callers take these statuses for a promise that the request did not run.
 #[test]
 fn only_reasons_before_a_server_are_promises() {
-    let unknown = [OwnReason::Unknown, OwnReason::TimedOut];
+    let unknown = [LocalReason::Unknown, LocalReason::TimedOut];
     for reason in unknown {
         let status = reason.status().as_u16();
         assert!(![408, 421, 429, 503].contains(&status), "{reason:?}");
     }
     for reason in [
-        OwnReason::NoConfig,
-        OwnReason::ServersFull,
-        OwnReason::Stopping,
+        LocalReason::NoConfig,
+        LocalReason::ServersFull,
+        LocalReason::Stopping,
     ] {
         assert_eq!(reason.status().as_u16(), 503);
         assert!(reason.retry_after().is_some(), "{reason:?}");
--- a/crates/hibiscus-traffic/tests/state.rs
+++ b/crates/hibiscus-traffic/tests/state.rs
@@ -12,13 +12,13 @@
 
 use hibiscus_ledger::account::AccountRecord;
 use hibiscus_traffic::budgets::AccountBatch;
-use hibiscus_traffic::budgets::BudgetDesk;
+use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::clock::MachineClock;
-use hibiscus_traffic::dialect::AnswerSigns;
-use hibiscus_traffic::dialect::CallerSigns;
-use hibiscus_traffic::dialect::RequestDialect;
-use hibiscus_traffic::dialect::ServerSigns;
-use hibiscus_traffic::dialect::SignFault;
+use hibiscus_traffic::dialect::CallerHeaders;
+use hibiscus_traffic::dialect::HeaderFault;
+use hibiscus_traffic::dialect::ResponseHeaders;
+use hibiscus_traffic::dialect::ServerHeaders;
+use hibiscus_traffic::dialect::WireFormat;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::holders;
 use hibiscus_traffic::machine::MachineLimits;
@@ -55,17 +55,17 @@
 /// Spells nothing: these tests send no request.
 struct SilentDialect;
 
-impl RequestDialect for SilentDialect {
-    fn caller_signs(&self, _headers: &HeaderMap) -> Result<CallerSigns, SignFault> {
-        Ok(CallerSigns::default())
+impl WireFormat for SilentDialect {
+    fn caller_signs(&self, _headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault> {
+        Ok(CallerHeaders::default())
     }
 
     fn strip_own(&self, _headers: &mut HeaderMap) {}
 
-    fn set_server_signs(&self, _signs: &ServerSigns<'_>, _headers: &mut HeaderMap) {}
+    fn set_server_signs(&self, _signs: &ServerHeaders<'_>, _headers: &mut HeaderMap) {}
 
-    fn answer_signs(&self, _headers: &HeaderMap) -> AnswerSigns {
-        AnswerSigns::default()
+    fn answer_signs(&self, _headers: &HeaderMap) -> ResponseHeaders {
+        ResponseHeaders::default()
     }
 
     fn set_answer_id(&self, _id: &str, _headers: &mut HeaderMap) {}
@@ -96,7 +96,7 @@
     let (outbox, batches) = mpsc::sync_channel(16);
     let (suspects, _records) = mpsc::sync_channel(16);
     let clock = MachineClock::of_this_boot();
-    let desk = BudgetDesk::new(own.incarnation, own.name.clone(), clock, outbox);
+    let desk = BudgetManager::new(own.incarnation, own.name.clone(), clock, outbox);
     let state = TrafficState::new(TrafficParts {
         dialect: SilentDialect,
         data_centre: own.data_centre.clone(),
@@ -160,7 +160,7 @@
     assert_eq!(draws(&batches), []);
     let budget = budget(3);
     let tokens = TokenCount::new(9_000);
-    let _want = state.budgets.want(&budget, tokens);
+    let _want = state.budgets.wait_for(&budget, tokens);
     state.review_waiting();
     let draws = draws(&batches);
     assert!(
