--- a/crates/hibiscus-traffic/src/availability_table.rs
+++ b/crates/hibiscus-traffic/src/availability_table.rs
@@ -23,7 +23,7 @@
 /// Availability of server processes.
 #[derive(Debug, Default)]
 pub struct AvailabilityTable {
-    availabilities: HashMap<ServerStart, SharedAvailability>,
+    known: HashMap<ServerStart, SharedAvailability>,
     /// Processes without an entry, oldest first.
     absent: VecDeque<ServerStart>,
 }
@@ -31,13 +31,13 @@
 impl AvailabilityTable {
     /// The availability of the process `start`, which is inserted if missing.
     pub fn get_or_insert(&mut self, start: &ServerStart) -> SharedAvailability {
-        let availability = self.availabilities.entry(start.clone()).or_default();
-        Rc::clone(availability)
+        let known = self.known.entry(start.clone()).or_default();
+        Rc::clone(known)
     }
 
     /// Marks `start` as draining; returns whether that is new.
     pub fn note_draining(&mut self, start: &ServerStart) -> bool {
-        let is_known = self.availabilities.contains_key(start);
+        let is_known = self.known.contains_key(start);
         let new = self.get_or_insert(start).borrow_mut().note_draining();
         if !is_known {
             self.note_entry_removed(start);
@@ -48,12 +48,12 @@
     /// Records that the entry of `start` was removed. Its availability is kept for
     /// a while if the process is draining or paused.
     pub fn note_entry_removed(&mut self, start: &ServerStart) {
-        let Some(availability) = self.availabilities.get(start) else {
+        let Some(known) = self.known.get(start) else {
             return;
         };
-        let last = *availability.borrow();
+        let last = *known.borrow();
         if !last.is_draining() && !last.is_paused() {
-            self.availabilities.remove(start);
+            self.known.remove(start);
             return;
         }
         self.absent.push_back(start.clone());
@@ -62,9 +62,9 @@
                 break;
             };
             // A server handle shares the availability if the entry has returned.
-            let held = self.availabilities.get(&oldest).map_or(0, Rc::strong_count);
+            let held = self.known.get(&oldest).map_or(0, Rc::strong_count);
             if held <= 1 {
-                self.availabilities.remove(&oldest);
+                self.known.remove(&oldest);
             }
         }
     }
--- a/crates/hibiscus-traffic/src/crash_detector.rs
+++ b/crates/hibiscus-traffic/src/crash_detector.rs
@@ -163,7 +163,7 @@
 pub struct StreamCandidate {
     request: Option<CrashCandidate>,
     /// Time of the stream's first event.
-    first_event: Option<Instant>,
+    begun: Option<Instant>,
     detector: Rc<CrashDetector>,
 }
 
@@ -172,7 +172,7 @@
     pub fn new(request: CrashCandidate, detector: Rc<CrashDetector>) -> Self {
         Self {
             request: Some(request),
-            first_event: None,
+            begun: None,
             detector,
         }
     }
@@ -180,8 +180,8 @@
     /// Records an event of the stream. After the first event the body is dropped,
     /// and the request remains a candidate for a while if servers crashed recently.
     pub fn note_event(&mut self) {
-        let Some(first_event) = self.first_event else {
-            self.first_event = Some(Instant::now());
+        let Some(begun) = self.begun else {
+            self.begun = Some(Instant::now());
             if !self.detector.is_alert() {
                 self.request = None;
             }
@@ -190,7 +190,7 @@
             }
             return;
         };
-        if self.request.is_some() && first_event.elapsed() > STREAM_CANDIDATE_TIME {
+        if self.request.is_some() && begun.elapsed() > STREAM_CANDIDATE_TIME {
             self.request = None;
         }
     }
@@ -214,10 +214,10 @@
 pub struct CrashDetector {
     cases: RefCell<HashMap<ServerStart, CrashCase>>,
     /// Servers whose port was found open, and when.
-    found_open: RefCell<HashMap<ServerStart, Instant>>,
+    open: RefCell<HashMap<ServerStart, Instant>>,
     /// Time of the last known crash of a server.
     last_crash: Cell<Option<Instant>>,
-    has_new: Notify,
+    noted: Notify,
 }
 
 impl CrashDetector {
@@ -228,7 +228,7 @@
             return;
         }
         let process = server.entry.start();
-        let found = self.found_open.borrow().get(&process).copied();
+        let found = self.open.borrow().get(&process).copied();
         if found.is_some_and(|found| found.elapsed() < OPEN_PORT_RECHECK_DELAY) {
             return;
         }
@@ -241,7 +241,7 @@
         if case.requests.len() < CANDIDATES_PER_SERVER_LIMIT {
             case.requests.extend(request);
         }
-        self.has_new.notify_one();
+        self.noted.notify_one();
     }
 
     /// Records that a server crashed.
@@ -268,13 +268,13 @@
         servers
     }
 
-    /// Ends the check of `server` and returns the requests that broke there.
+    /// Ends the check of `server`; returns the requests whose connections broke.
     fn finish_check(&self, server: &ServerHandle, port: PortState) -> Vec<CrashCandidate> {
         let process = server.entry.start();
         if port == PortState::Open {
-            let mut found_open = self.found_open.borrow_mut();
-            found_open.retain(|_process, found| found.elapsed() < OPEN_PORT_RECHECK_DELAY);
-            found_open.insert(process.clone(), Instant::now());
+            let mut open = self.open.borrow_mut();
+            open.retain(|_process, found| found.elapsed() < OPEN_PORT_RECHECK_DELAY);
+            open.insert(process.clone(), Instant::now());
         }
         let case = self.cases.borrow_mut().remove(&process);
         case.map_or_else(Vec::new, |case| case.requests)
@@ -284,7 +284,7 @@
 /// Checks servers that broke connections, until the runtime stops.
 pub async fn run<D: WireFormat>(state: Rc<TrafficState<D>>) {
     loop {
-        state.crash_detector.has_new.notified().await;
+        state.crash_detector.noted.notified().await;
         for server in state.crash_detector.take_unchecked() {
             tokio::task::spawn_local(check_server(Rc::clone(&state), server));
         }
--- a/crates/hibiscus-traffic/src/server_registry.rs
+++ b/crates/hibiscus-traffic/src/server_registry.rs
@@ -57,20 +57,20 @@
 
     /// Adds or updates an entry; returns `None` if only its age changed.
     pub fn put(&mut self, entry: ServerEntry) -> Option<RegistryChange> {
-        let registered = self.servers.get_mut(&entry.name);
-        if let Some(registered) = registered {
-            registered.expires_at = None;
-            if registered.entry == entry {
+        let held = self.servers.get_mut(&entry.name);
+        if let Some(held) = held {
+            held.expires_at = None;
+            if held.entry == entry {
                 return None;
             }
-            registered.entry = entry.clone();
+            held.entry = entry.clone();
             return Some(RegistryChange::Present(entry));
         }
-        let registered = RegisteredServer {
+        let held = RegisteredServer {
             entry: entry.clone(),
             expires_at: None,
         };
-        self.servers.insert(entry.name.clone(), registered);
+        self.servers.insert(entry.name.clone(), held);
         Some(RegistryChange::Present(entry))
     }
 
@@ -83,12 +83,12 @@
             }
             _ => None,
         };
-        let registered = self.servers.get_mut(name)?;
+        let held = self.servers.get_mut(name)?;
         // The entry of a draining server did not expire because of the outage.
         if let Some(until) = until
-            && registered.entry.phase == ServerPhase::Serving
+            && held.entry.phase == ServerPhase::Serving
         {
-            registered.expires_at = Some(until);
+            held.expires_at = Some(until);
             return None;
         }
         self.servers.remove(name);
@@ -119,8 +119,8 @@
         if self.is_store_lost {
             return changes;
         }
-        self.servers.retain(|name, registered| {
-            let gone = registered.expires_at.is_some_and(|until| now >= until);
+        self.servers.retain(|name, held| {
+            let gone = held.expires_at.is_some_and(|until| now >= until);
             if gone {
                 changes.push(RegistryChange::Gone(name.clone()));
             }
