--- a/crates/hibiscus-request/tests/lifecycle.rs
+++ b/crates/hibiscus-request/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Evidence and proof that a request did not run.
+//! Tests which requests can be proved not to have run.
 
 use hibiscus_request::lifecycle::AdmittedRequest;
 use hibiscus_request::lifecycle::NotBegunEvidence;
@@ -8,7 +8,7 @@
 use hibiscus_types::TokenCount;
 
 #[test]
-fn only_the_refusing_statuses_of_an_engine_are_evidence() {
+fn only_statuses_that_refuse_a_request_are_evidence_that_it_did_not_begin() {
     for status in 100..=599 {
         let evidence = NotBegunEvidence::engine_refused(status);
         assert_eq!(evidence.is_some(), matches!(status, 429 | 503), "{status}");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_request_whose_connection_was_refused_can_be_proved_not_run() {
+fn a_request_whose_connection_was_refused_is_proved_not_run() {
     let key = RequestKey::new("team".into(), "key");
     let admitted = AdmittedRequest::new(key.clone());
     let opened = admitted.opened(GrantId::generate(), TokenCount::new(5), 3);
--- a/crates/hibiscus-request/tests/quarantine.rs
+++ b/crates/hibiscus-request/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are suspects and which are quarantined.
+//! Tests which requests are suspects and which are quarantined.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use hibiscus_request::quarantine::SuspectTable;
 use hibiscus_types::UnixMillis;
 
-/// When the deaths of these tests are seen.
+/// Time at which the crashes of these tests are seen.
 const SEEN: UnixMillis = UnixMillis::new(1_000_000);
 
 fn fingerprint(body: &str) -> BodyFingerprint {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_second_server_lost_alone_quarantines() {
+fn a_second_crash_while_the_request_runs_alone_quarantines_it() {
     let mut table = SuspectTable::default();
     table.record(&crash("crash", "server-1", false));
     let once = table.suspicion(fingerprint("crash"), SEEN);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn repeats_of_one_death_do_not_quarantine() {
+fn repeated_reports_of_one_crash_do_not_quarantine() {
     let mut table = SuspectTable::default();
     for _repeat in 0..5 {
         table.record(&crash("crash", "server-1", true));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_request_that_only_ran_beside_others_is_not_quarantined() {
+fn a_request_that_never_ran_alone_is_not_quarantined() {
     let mut table = SuspectTable::default();
     for server in ["server-1", "server-2", "server-3"] {
         table.record(&crash("innocent", server, false));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn deaths_are_forgotten_after_their_lifetime() {
+fn crashes_are_forgotten_after_their_lifetime() {
     let mut table = SuspectTable::default();
     table.record(&crash("crash", "server-1", true));
     table.record(&crash("crash", "server-2", true));
--- a/crates/hibiscus-request/tests/retry.rs
+++ b/crates/hibiscus-request/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Bounds of retries and of keys.
+//! Tests the limits on retries and on the age of keys.
 
 use hibiscus_request::retry::RetryBudget;
 use hibiscus_request::window;
@@ -6,9 +6,9 @@
 use hibiscus_request::window::KeyAge;
 use hibiscus_types::UnixMillis;
 
-/// A key of version 7 stamped at [`STAMPED`].
+/// A UUID of version 7 with the timestamp [`STAMPED`].
 const KEY: &str = "01890a5d-ac96-774b-bcce-b302099a8057";
-/// The first 48 bits of [`KEY`].
+/// The timestamp in the first 48 bits of [`KEY`].
 const STAMPED: UnixMillis = UnixMillis::new(0x0189_0a5d_ac96);
 
 #[test]
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_quiet_time_saves_up_no_more_than_a_burst() {
+fn many_requests_without_retries_allow_no_more_than_a_burst() {
     let mut budget = RetryBudget::default();
     for _request in 0..10_000 {
         budget.count_request();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_time_ordered_key_is_used_only_within_its_window() {
+fn a_time_ordered_key_is_valid_only_within_its_window() {
     assert_eq!(window::check_key_age(KEY, STAMPED), KeyAge::Valid);
     let last = STAMPED.after(KEY_WINDOW);
     assert_eq!(window::check_key_age(KEY, last), KeyAge::Valid);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_key_without_a_time_is_used_at_any_time() {
+fn a_key_without_a_timestamp_is_always_valid() {
     for key in ["order-7", "", "01890a5d-ac96-474b-bcce-b302099a8057"] {
         assert_eq!(window::check_key_age(key, STAMPED), KeyAge::Valid);
     }
--- a/crates/hibiscus-request/tests/suspects.rs
+++ b/crates/hibiscus-request/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers ended.
+//! Tests the table of crash reports and the quarantine that follows from them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use hibiscus_request::suspects::ServerProcess;
 use hibiscus_types::UnixMillis;
 
-/// A moment of the day.
+/// An arbitrary time.
 const NOW: UnixMillis = UnixMillis::new(1_000_000_000);
 
 fn fingerprint(body: &str) -> RequestFingerprint {
     RequestFingerprint::of("team-a", "/often/x", body.as_bytes())
 }
 
-/// The end of the server `number` under `body`, sent by one that knew of
-/// `known_rounds` rounds.
+/// A report that the server `number` crashed while it ran `body`, whose sender
+/// knew of `known_rounds` rounds.
 fn crash(body: &str, number: u64, known_rounds: u8, isolated: bool) -> CrashReport {
     CrashReport {
         fingerprint: fingerprint(body),
@@ -41,20 +41,20 @@
     summary.is_some_and(|summary| summary.quarantined_until.is_some())
 }
 
-/// Guards against condemning requests for one crash of many servers.
+/// Guards against quarantining requests after a single crash of many servers.
 #[test]
-fn servers_that_end_at_the_same_moment_are_one_round() {
+fn servers_that_crash_at_the_same_moment_make_one_round() {
     let mut table = CrashTable::default();
     for number in 0..12 {
         assert!(table.merge(crash("a", number, 0, true), Duration::ZERO));
     }
-    let summary = table.summary(&fingerprint("a"), at(1)).expect("a case");
+    let summary = table.summary(&fingerprint("a"), at(1)).expect("a summary");
     assert_eq!((summary.servers, summary.rounds), (12, 1));
     assert!(!is_quarantined(&table, "a", at(1)));
 }
 
 #[test]
-fn two_rounds_condemn_when_no_other_server_ended_and_three_do_otherwise() {
+fn two_isolated_rounds_quarantine_and_otherwise_three_do() {
     for (alone, rounds) in [(true, 2), (false, 3)] {
         let mut table = CrashTable::default();
         for known_rounds in 0..rounds {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn ends_of_other_servers_shortly_before_speak_for_a_request() {
+fn a_crash_is_not_isolated_shortly_after_crashes_of_other_servers() {
     let mut table = CrashTable::default();
     let second = Duration::from_secs(1);
     table.merge(crash("a", 1, 0, true), second);
@@ -83,9 +83,9 @@
     assert!(table.is_isolated(&fingerprint("a"), process(2), second * 13));
 }
 
-/// Guards against a request that is condemned although it is answered.
+/// Guards against quarantining a request that got a response.
 #[test]
-fn an_answer_clears_a_request_and_late_copies_of_its_ends_change_nothing() {
+fn a_response_clears_a_request_and_late_copies_of_its_reports_change_nothing() {
     let mut table = CrashTable::default();
     let crashes = [crash("a", 1, 0, true), crash("a", 2, 1, true)];
     for crash in &crashes {
@@ -98,13 +98,13 @@
     }
     assert!(table.is_empty());
     assert!(!table.may_contain(fingerprint("a").coarse()));
-    // An end whose sender knew of rounds that were cleared is a first one.
+    // A crash whose sender knew of rounds that were cleared counts as a first one.
     table.merge(crash("a", 3, 1, true), Duration::ZERO);
     assert!(!is_quarantined(&table, "a", at(1)));
 }
 
 #[test]
-fn a_condemned_request_is_released_and_another_end_doubles_the_time() {
+fn a_quarantine_ends_and_another_crash_doubles_its_time() {
     let mut table = CrashTable::default();
     let hour = 3_600;
     table.merge(crash("a", 1, 0, true), Duration::ZERO);
@@ -113,7 +113,7 @@
     assert!(!is_quarantined(&table, "a", at(hour + 10)));
     let summary = table
         .summary(&fingerprint("a"), at(hour + 10))
-        .expect("a case");
+        .expect("a summary");
     assert_eq!(summary.rounds, 2);
     let again = CrashReport {
         seen: at(hour + 10),
@@ -127,9 +127,9 @@
     assert!(table.is_empty());
 }
 
-/// Guards against a team that condemns the request of another.
+/// Guards against a team that gets another team's request quarantined.
 #[test]
-fn the_same_body_of_another_team_or_to_another_path_is_another_request() {
+fn the_same_body_from_another_team_or_to_another_path_is_another_request() {
     let mut table = CrashTable::default();
     table.merge(crash("a", 1, 0, true), Duration::ZERO);
     table.merge(crash("a", 2, 1, true), Duration::ZERO);
@@ -143,10 +143,10 @@
     }
 }
 
-/// Guards against a table that grows, and against losing what is condemned to
-/// what proves little.
+/// Guards against a table that grows without limit, and against evicting
+/// quarantined requests in favour of those with fewer rounds.
 #[test]
-fn a_full_book_drops_the_requests_that_prove_least() {
+fn a_full_table_evicts_the_requests_with_the_fewest_rounds() {
     let mut table = CrashTable::default();
     table.merge(crash("condemned", 1, 0, true), Duration::ZERO);
     table.merge(crash("condemned", 2, 1, true), Duration::ZERO);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn after_a_gap_what_the_topic_no_longer_holds_is_dropped_and_own_news_stay() {
+fn after_a_gap_reports_missing_in_the_topic_are_removed_and_unstored_ones_stay() {
     let mut table = CrashTable::default();
     let (stored, own) = (crash("a", 1, 0, true), crash("b", 2, 0, true));
     table.merge(stored.clone(), Duration::ZERO);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_key_reads_back_as_it_was_written() {
+fn a_key_parses_from_its_displayed_text() {
     let key = crash("a", 1, 0, true).key();
     assert_eq!(CrashKey::parse(&key.to_string()), Some(key));
     for text in ["", "12", "/", "zz/1"] {
@@ -185,9 +185,9 @@
     }
 }
 
-/// Merging is independent of order and of repeats.
+/// Reports may be merged in any order and repeatedly.
 #[test]
-fn evidence_in_any_order_leads_to_the_same_verdict() {
+fn reports_in_any_order_lead_to_the_same_quarantine() {
     let crashes: Vec<CrashReport> = (0..3)
         .map(|known_rounds| crash("a", u64::from(known_rounds), known_rounds, false))
         .collect();
--- a/crates/hibiscus-routing/tests/availability.rs
+++ b/crates/hibiscus-routing/tests/availability.rs
@@ -1,4 +1,4 @@
-//! Servers that leave, pause, refuse and start anew.
+//! Tests servers that drain, pause, refuse requests and restart.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,7 +12,7 @@
 use proptest::prop_oneof;
 use proptest::proptest;
 
-/// Time within which a server that refused is tried again at the latest.
+/// Maximum time after which a server that refused is tried again.
 const TRIED_AGAIN: Duration = Duration::from_secs(2);
 
 fn ms(millis: u64) -> Duration {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_takes_nothing_more() {
+fn a_draining_server_gets_no_more_requests() {
     let now = Instant::now();
     let mut availability = ServerAvailability::default();
     assert!(availability.note_draining());
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_pause_lasts_as_long_as_the_server_said_and_ends_with_a_few_trials() {
+fn a_pause_lasts_as_long_as_requested_and_ends_with_a_few_trial_requests() {
     let now = Instant::now();
     let mut availability = ServerAvailability::default();
     availability.note_refused(Some(ms(3_000)), now);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_request_from_before_a_pause_shows_nothing_of_it() {
+fn a_request_sent_before_a_pause_does_not_end_it() {
     let now = Instant::now();
     let mut availability = ServerAvailability::default();
     let trial = availability.note_sent(now);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_later_refusal_without_a_time_does_not_shorten_a_pause() {
+fn a_later_refusal_without_a_pause_does_not_shorten_a_pause() {
     let now = Instant::now();
     let mut availability = ServerAvailability::default();
     availability.note_refused(Some(ms(4_000)), now);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_pause_beyond_the_clock_has_no_end() {
+fn a_pause_beyond_the_range_of_the_clock_never_ends() {
     let now = Instant::now();
     let mut availability = ServerAvailability::default();
     availability.note_refused(Some(Duration::MAX), now);
@@ -112,104 +112,104 @@
 }
 
 #[test]
-fn a_server_that_refuses_all_is_tried_by_one_request_at_growing_times() {
+fn a_server_that_refuses_everything_is_tried_by_one_request_at_growing_intervals() {
     let mut now = Instant::now();
     let mut availability = ServerAvailability::default();
-    let mut tried = 0;
+    let mut trials = 0;
     let end = now + Duration::from_secs(60);
     while now < end {
         if availability.eligibility(now) == ServerEligibility::Open {
             availability.note_sent(now);
             availability.note_refused(None, now);
-            tried += 1;
+            trials += 1;
         }
         now += ms(10);
     }
-    assert!((30..40).contains(&tried), "{tried} requests in a minute");
+    assert!((30..40).contains(&trials), "{trials} requests in a minute");
     assert_eq!(availability.eligibility(now), ServerEligibility::LastResort);
 }
 
-/// What happens at one server.
+/// Event at one server.
 #[derive(Clone, Debug)]
 enum ServerEvent {
-    Leaves,
-    StartsAnew,
+    Drains,
+    Restarts,
     Refuses(Option<u64>),
     Sent,
-    Taken(usize),
+    Accepted(usize),
     Unanswered(usize),
-    Passes(u64),
+    TimePasses(u64),
 }
 
 fn event() -> impl Strategy<Value = ServerEvent> {
     prop_oneof![
-        1 => Just(ServerEvent::Leaves),
-        1 => Just(ServerEvent::StartsAnew),
+        1 => Just(ServerEvent::Drains),
+        1 => Just(ServerEvent::Restarts),
         3 => proptest::option::of(1_u64..6_000).prop_map(ServerEvent::Refuses),
         8 => Just(ServerEvent::Sent),
-        4 => (0_usize..8).prop_map(ServerEvent::Taken),
+        4 => (0_usize..8).prop_map(ServerEvent::Accepted),
         2 => (0_usize..8).prop_map(ServerEvent::Unanswered),
-        6 => (0_u64..2_500).prop_map(ServerEvent::Passes),
+        6 => (0_u64..2_500).prop_map(ServerEvent::TimePasses),
     ]
 }
 
 proptest! {
-    /// Nothing is sent to a process that leaves, nor within a pause; a new
-    /// start is used; every pause ends.
+    /// No request is sent to a draining process or during a pause, a restarted
+    /// server is used, and every pause ends.
     #[test]
-    fn whatever_the_order_pauses_are_kept_and_end(events in vec(event(), 0..120)) {
+    fn pauses_are_respected_and_end_after_any_sequence_of_events(events in vec(event(), 0..120)) {
         let mut now = Instant::now();
         let mut availability = ServerAvailability::default();
-        let mut flights: Vec<bool> = Vec::new();
+        let mut in_progress: Vec<bool> = Vec::new();
         let mut paused_until = now;
-        let mut leaves = false;
+        let mut is_draining = false;
         for event in events {
             match event {
-                ServerEvent::Leaves => {
+                ServerEvent::Drains => {
                     availability.note_draining();
-                    leaves = true;
+                    is_draining = true;
                 }
-                ServerEvent::StartsAnew => {
+                ServerEvent::Restarts => {
                     availability = ServerAvailability::default();
-                    flights.clear();
+                    in_progress.clear();
                     paused_until = now;
-                    leaves = false;
+                    is_draining = false;
                     prop_assert!(availability.eligibility(now) == ServerEligibility::Open);
                 }
-                ServerEvent::Refuses(wanted) => {
-                    let wanted = wanted.map(ms);
-                    availability.note_refused(wanted, now);
-                    if let Some(wanted) = wanted {
-                        paused_until = paused_until.max(now + wanted);
+                ServerEvent::Refuses(requested) => {
+                    let requested = requested.map(ms);
+                    availability.note_refused(requested, now);
+                    if let Some(requested) = requested {
+                        paused_until = paused_until.max(now + requested);
                     }
                 }
                 ServerEvent::Sent => {
                     let eligibility = availability.eligibility(now);
                     let sent = matches!(eligibility, ServerEligibility::Open | ServerEligibility::LastResort);
                     if sent {
-                        prop_assert!(!leaves && now >= paused_until);
+                        prop_assert!(!is_draining && now >= paused_until);
                         let trial = availability.note_sent(now);
                         prop_assert!(availability.still_accepts(trial, now));
-                        flights.push(trial);
+                        in_progress.push(trial);
                     }
                 }
-                ServerEvent::Taken(number) if number < flights.len() => {
-                    availability.note_accepted(flights.swap_remove(number));
+                ServerEvent::Accepted(number) if number < in_progress.len() => {
+                    availability.note_accepted(in_progress.swap_remove(number));
                 }
-                ServerEvent::Unanswered(number) if number < flights.len() => {
-                    availability.note_unanswered(flights.swap_remove(number));
+                ServerEvent::Unanswered(number) if number < in_progress.len() => {
+                    availability.note_unanswered(in_progress.swap_remove(number));
                 }
-                ServerEvent::Taken(_) | ServerEvent::Unanswered(_) => {}
-                ServerEvent::Passes(millis) => now += ms(millis),
+                ServerEvent::Accepted(_) | ServerEvent::Unanswered(_) => {}
+                ServerEvent::TimePasses(millis) => now += ms(millis),
             }
-            // What was counted before must not leave within the pause.
-            let may_leave = [true, false].map(|trial| availability.still_accepts(trial, now));
-            prop_assert!((!leaves && now >= paused_until) || may_leave == [false, false]);
+            // Requests that were counted before must not be sent during the pause.
+            let may_send = [true, false].map(|trial| availability.still_accepts(trial, now));
+            prop_assert!((!is_draining && now >= paused_until) || may_send == [false, false]);
         }
-        for trial in flights {
+        for trial in in_progress {
             availability.note_unanswered(trial);
         }
         let later = now.max(paused_until) + TRIED_AGAIN;
-        prop_assert!(leaves || availability.eligibility(later) == ServerEligibility::Open);
+        prop_assert!(is_draining || availability.eligibility(later) == ServerEligibility::Open);
     }
 }
--- a/crates/hibiscus-routing/tests/choosers.rs
+++ b/crates/hibiscus-routing/tests/choosers.rs
@@ -1,9 +1,10 @@
-//! Many instances that choose among few servers, each with reports of its own
-//! answers only: a fleet before a plain service.
+//! Simulates many instances that choose among few servers, where each instance
+//! has load reports only from its own responses.
 //!
-//! Calls come evenly to all instances, a call takes 60 ms of one of six places,
-//! and a kept connection is of use for 4 s. What is printed: the busiest server
-//! against the mean, calls that took more than 150 ms, and new connections.
+//! Calls are spread evenly over the instances, a call occupies one of six slots
+//! for 60 ms, and an idle connection is usable for 4 s. The test prints the load
+//! of the busiest server relative to the mean, the calls that took more than
+//! 150 ms, and the number of new connections.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -18,33 +19,33 @@
 use hibiscus_routing::placement::PrefillTracker;
 
 const SERVERS: usize = 6;
-const PLACES: usize = 6;
+const SLOTS: usize = 6;
 /// Milliseconds that a call takes.
 const WORK_MS: u64 = 60;
-/// Calls a second; the servers take 600.
+/// Calls per second; the servers can handle 600.
 const CALLS: u64 = 240;
 const SECONDS: u64 = 30;
-/// Milliseconds for which a kept connection is of use.
-const KEPT_MS: u64 = 4_000;
-/// Milliseconds after which a call is late.
+/// Milliseconds for which an idle connection is usable.
+const IDLE_LIFETIME_MS: u64 = 4_000;
+/// Milliseconds after which a call counts as late.
 const LATE_MS: u64 = 150;
 
 /// How a server is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChoiceRule {
-    /// By the predicted time, the first of those that are alike.
+    /// By the predicted time; of equal servers the first.
     FirstOfEqual,
-    /// By the predicted time, with a kept connection and an own order.
-    OwnOrder,
-    /// The one with less load of two at random.
+    /// By the predicted time, with idle connections and the instance's jitter.
+    WithJitter,
+    /// The less loaded of two servers chosen at random.
     TwoChoices,
 }
 
-/// One server at an instance.
+/// State of one server as seen by an instance.
 #[derive(Clone, Default)]
-struct KnownServer {
+struct ServerView {
     load: LoadTracker,
-    kept_until: Option<u64>,
+    idle_until: Option<u64>,
 }
 
 #[derive(Default)]
@@ -54,7 +55,7 @@
     calls: u64,
 }
 
-/// What a run came to.
+/// Result of one simulation.
 struct ChoiceResult {
     busiest: f64,
     late: u64,
@@ -76,7 +77,7 @@
     rule: ChoiceRule,
     own: &str,
     names: &[String],
-    known: &[KnownServer],
+    views: &[ServerView],
     others: u32,
     at: (Instant, u64),
     random: &mut fastrand::Rng,
@@ -85,7 +86,7 @@
     if rule == ChoiceRule::TwoChoices {
         let first = random.usize(..SERVERS);
         let second = (first + random.usize(1..SERVERS)) % SERVERS;
-        let load = |server: usize| known[server].load.expected(now, others);
+        let load = |server: usize| views[server].load.expected(now, others);
         return if load(first) <= load(second) {
             first
         } else {
@@ -93,31 +94,31 @@
         };
     }
     let prefill = PrefillTracker::default();
-    let is_own = rule == ChoiceRule::OwnOrder;
-    let views: Vec<_> = names
+    let uses_jitter = rule == ChoiceRule::WithJitter;
+    let candidates: Vec<_> = names
         .iter()
-        .zip(known)
+        .zip(views)
         .map(|(name, server)| PlacementCandidate {
             name,
             prefill: &prefill,
             expected: server.load.expected(now, others),
             waiting: 0,
-            slots: PLACES as u32,
+            slots: SLOTS as u32,
             remote: false,
-            connected: !is_own || server.kept_until.is_some_and(|until| until > millis),
-            jitter: if is_own {
+            connected: !uses_jitter || server.idle_until.is_some_and(|until| until > millis),
+            jitter: if uses_jitter {
                 placement::jitter_of(own, name)
             } else {
                 0.0
             },
         })
         .collect();
-    let case = PlacementRequest {
+    let request = PlacementRequest {
         shared: &[],
         own_tokens: 0,
         now: Duration::from_millis(millis),
     };
-    placement::choose(&views, &case)
+    placement::choose(&candidates, &request)
         .expect("there are servers")
         .0
 }
@@ -126,13 +127,13 @@
     let begun = Instant::now();
     let mut random = fastrand::Rng::with_seed(3);
     let names: Vec<String> = (0..SERVERS).map(|number| format!("i-{number}")).collect();
-    let owns: Vec<String> = (0..instances)
+    let instance_names: Vec<String> = (0..instances)
         .map(|number| format!("front-{number}"))
         .collect();
-    let mut known = vec![vec![KnownServer::default(); SERVERS]; instances];
+    let mut views = vec![vec![ServerView::default(); SERVERS]; instances];
     let mut servers: Vec<BusyServer> = (0..SERVERS).map(|_number| BusyServer::default()).collect();
     let mut ends: BTreeMap<u64, Vec<(usize, usize, u64)>> = BTreeMap::new();
-    let (mut late, mut connections, mut calls, mut owed) = (0, 0, 0, 0.0);
+    let (mut late, mut connections, mut calls, mut calls_due) = (0, 0, 0, 0.0);
     let others = u32::try_from(instances - 1).expect("a fleet");
     for millis in 0..SECONDS * 1_000 {
         let now = begun + Duration::from_millis(millis);
@@ -146,27 +147,27 @@
                     .push((next, number, since));
             }
             late += u64::from(millis - sent > LATE_MS);
-            let seen = &mut known[instance][number];
+            let seen = &mut views[instance][number];
             let load = server.running + server.queue.len();
             seen.load
                 .note_report(u32::try_from(load).expect("few"), now);
             seen.load.note_ended(now);
-            seen.kept_until = Some(millis + KEPT_MS);
+            seen.idle_until = Some(millis + IDLE_LIFETIME_MS);
         }
-        owed += CALLS as f64 / 1_000.0;
-        while owed >= 1.0 {
-            owed -= 1.0;
+        calls_due += CALLS as f64 / 1_000.0;
+        while calls_due >= 1.0 {
+            calls_due -= 1.0;
             let instance = random.usize(..instances);
-            let own = &owns[instance];
+            let own = &instance_names[instance];
             let at = (now, millis);
-            let number = choose(rule, own, &names, &known[instance], others, at, &mut random);
-            let seen = &mut known[instance][number];
-            connections += u64::from(seen.kept_until.take().is_none_or(|until| until <= millis));
+            let number = choose(rule, own, &names, &views[instance], others, at, &mut random);
+            let seen = &mut views[instance][number];
+            connections += u64::from(seen.idle_until.take().is_none_or(|until| until <= millis));
             seen.load.note_sent(now);
             let server = &mut servers[number];
             server.calls += 1;
             calls += 1;
-            if server.running < PLACES {
+            if server.running < SLOTS {
                 server.running += 1;
                 ends.entry(millis + WORK_MS)
                     .or_default()
@@ -185,16 +186,16 @@
     }
 }
 
-/// Guards against instances that all choose the first of the servers of which
-/// they know nothing: the busiest server had 1.36 of the mean, and nearly each
-/// second request opened a connection (issue 29).
+/// Guards against instances that all choose the first of the servers without
+/// load reports: the busiest server got 1.36 times the mean load, and almost
+/// every second request opened a connection (issue 29).
 #[test]
-fn instances_with_little_to_go_by_spread_over_the_servers_and_keep_to_their_own() {
+fn instances_with_few_load_reports_spread_over_the_servers_and_reuse_connections() {
     for instances in [7, 62, 195] {
         let results = [
             ChoiceRule::FirstOfEqual,
             ChoiceRule::TwoChoices,
-            ChoiceRule::OwnOrder,
+            ChoiceRule::WithJitter,
         ]
         .map(|rule| (rule, run(instances, rule)));
         for (rule, result) in &results {
--- a/crates/hibiscus-routing/tests/health.rs
+++ b/crates/hibiscus-routing/tests/health.rs
@@ -1,4 +1,4 @@
-//! Avoidance of servers that fail.
+//! Tests the ejection of servers that fail.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,7 +6,7 @@
 use hibiscus_routing::health::ServerHealth;
 
 #[test]
-fn a_failed_server_is_probed_by_one_request_after_a_growing_time() {
+fn a_failed_server_is_probed_by_one_request_after_a_growing_ejection() {
     let start = Instant::now();
     let mut health = ServerHealth::default();
     let mut now = start;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_probe_that_showed_nothing_is_repeated() {
+fn an_inconclusive_probe_is_repeated() {
     let start = Instant::now();
     let mut health = ServerHealth::default();
     health.note_failed(start);
--- a/crates/hibiscus-routing/tests/load.rs
+++ b/crates/hibiscus-routing/tests/load.rs
@@ -1,4 +1,4 @@
-//! Estimates of load and of prefix caches.
+//! Tests load estimates, prefix cache estimates and the policies based on them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -32,20 +32,20 @@
 }
 
 #[test]
-fn what_was_sent_since_a_report_counts_on_top_of_it() {
+fn requests_sent_since_a_report_are_added_to_it() {
     let start = Instant::now();
     let mut load = LoadTracker::default();
     load.note_sent(start);
-    // Made while this process had one of the five in progress.
+    // The report is from when this process had one of the five in progress.
     load.note_report(5, start + SECOND);
     load.note_sent(start + 2 * SECOND);
     assert!((load.expected(start + 2 * SECOND, 0) - 6.0).abs() < 1e-9);
-    // One other router is taken to have sent nearly as much.
+    // One other router is assumed to have sent almost as many requests.
     assert!((load.expected(start + 2 * SECOND, 1) - 6.75).abs() < 1e-9);
 }
 
 #[test]
-fn a_late_report_is_compared_with_the_requests_of_its_time() {
+fn a_late_report_is_compared_with_the_requests_in_progress_when_it_was_made() {
     let start = Instant::now();
     let mut load = LoadTracker::default();
     load.note_sent(start);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn no_policy_chooses_a_leaving_server() {
+fn no_policy_chooses_a_draining_server() {
     let mut servers = vec![server(0.0), server(9.0), server(0.0)];
     servers[0].draining = true;
     servers[2].draining = true;
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_slow_server_and_a_cached_prefix_count() {
+fn a_slow_server_costs_more_and_a_cached_prefix_less() {
     let mut servers = vec![server(3.0), server(2.0)];
     servers[0].token_seconds = 0.01;
     servers[1].token_seconds = 0.03;
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn lost_cache_events_shrink_what_is_believed() {
+fn lost_cache_events_lower_all_probabilities() {
     let event = |sequence, prefix, change| CacheEvent {
         sequence,
         prefix,
@@ -111,7 +111,7 @@
     assert!(estimate.probability(9).abs() < 1e-9);
     estimate.apply(&event(3, 7, CacheChange::Evicted));
     assert!(estimate.probability(7).abs() < 1e-9);
-    // After so many lost events nothing is believed.
+    // After this many lost events all prefixes are forgotten.
     estimate.apply(&event(100, 1, CacheChange::Stored));
     assert!(estimate.probability(8).abs() < 1e-9);
 }
--- a/crates/hibiscus-traffic/tests/roster.rs
+++ b/crates/hibiscus-traffic/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Which servers may be used while the store comes and goes.
+//! Tests which servers stay in the registry while the store is lost and returns.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     Duration::from_millis(millis)
 }
 
-/// A roster that lost the store at once and read it again at `returned`.
+/// A registry that lost the store and read it again at `returned`.
 fn returned_at(returned: Duration) -> ServerRegistry {
     let mut registry = ServerRegistry::default();
     registry.put(server("i-1", ServerPhase::Serving));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_removed_entry_is_gone_at_once_while_the_store_is_there() {
+fn a_removed_entry_is_dropped_at_once_while_the_store_is_reachable() {
     let mut registry = ServerRegistry::default();
     registry.put(server("i-1", ServerPhase::Serving));
     let gone = registry.remove(&"i-1".into(), at(5_000));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_while_the_store_was_away_has_time_to_return() {
+fn an_entry_that_expired_during_an_outage_has_time_to_return() {
     let mut registry = returned_at(at(10_000));
     assert_eq!(registry.remove(&"i-1".into(), at(10_100)), None);
     assert!(
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_entry_that_came_back_stays() {
+fn an_entry_that_returns_stays() {
     let mut registry = returned_at(at(10_000));
     registry.remove(&"i-1".into(), at(10_100));
     registry.put(server("i-1", ServerPhase::Serving));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_server_that_said_it_was_leaving_did_not_lapse() {
+fn a_draining_server_is_removed_at_once_after_an_outage() {
     let mut registry = ServerRegistry::default();
     registry.put(server("i-1", ServerPhase::Leaving));
     registry.note_store_lost();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_absent_store_empties_nothing() {
+fn no_server_is_removed_during_an_outage() {
     let mut registry = ServerRegistry::default();
     registry.put(server("i-1", ServerPhase::Serving));
     registry.note_store_lost();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_new_reading_of_all_entries_drops_those_that_are_missing() {
+fn replacing_all_entries_removes_those_that_are_missing() {
     let mut registry = ServerRegistry::default();
     registry.put(server("i-1", ServerPhase::Serving));
     let changes = registry.replace(vec![server("i-2", ServerPhase::Serving)], at(9_000));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_entry_that_only_grew_older_changes_nothing() {
+fn an_unchanged_entry_makes_no_change() {
     let mut registry = ServerRegistry::default();
     assert!(registry.put(server("i-1", ServerPhase::Serving)).is_some());
     assert!(registry.put(server("i-1", ServerPhase::Serving)).is_none());
--- a/crates/hibiscus-traffic/tests/server_news.rs
+++ b/crates/hibiscus-traffic/tests/server_news.rs
@@ -1,4 +1,4 @@
-//! News of servers that a few instances pass on to the others.
+//! Tests the change sets that a few instances publish for the others.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -43,82 +43,85 @@
     Duration::from_millis(millis)
 }
 
-/// Guards against bytes that grow with the servers times the instances: each
-/// instance read each entry each 1.2 s, 200 KB a second at 3,000 servers
+/// Guards against traffic that grows with servers times instances: when each
+/// instance read each entry every 1.2 s, that was 200 KB/s at 3,000 servers
 /// (issue 29).
 #[test]
-fn entries_that_are_written_again_unchanged_make_no_news() {
-    let mut book = EntryTable::default();
-    let mut draft = PendingChanges::new(0, Duration::ZERO);
+fn entries_that_are_rewritten_unchanged_make_an_empty_change_set() {
+    let mut table = EntryTable::default();
+    let mut pending = PendingChanges::new(0, Duration::ZERO);
     let mut offset = 0;
     for round in 0..5 {
         for number in 0..SERVERS {
-            if let Some(change) = book.apply(offset, present(number, 1)) {
-                draft.push(offset, change, ms(round));
+            if let Some(change) = table.apply(offset, present(number, 1)) {
+                pending.push(offset, change, ms(round));
             }
             offset += 1;
         }
         if round == 0 {
-            assert_eq!(draft.change_sets(book.position()).len(), 3);
-            draft.note_published(book.position(), ms(round));
+            assert_eq!(pending.change_sets(table.position()).len(), 3);
+            pending.note_published(table.position(), ms(round));
         }
     }
-    let news = draft.change_sets(book.position());
-    assert_eq!(news.len(), 1);
-    assert!(news[0].changes.is_empty());
-    assert_eq!((news[0].from, news[0].upto), (SERVERS, 5 * SERVERS));
-    let bytes = codec::encode(&news[0]).expect("news are encoded");
+    let change_sets = pending.change_sets(table.position());
+    assert_eq!(change_sets.len(), 1);
+    assert!(change_sets[0].changes.is_empty());
+    assert_eq!(
+        (change_sets[0].from, change_sets[0].upto),
+        (SERVERS, 5 * SERVERS)
+    );
+    let bytes = codec::encode(&change_sets[0]).expect("the change set is encoded");
     assert!(bytes.len() < 32, "{} bytes", bytes.len());
 }
 
 #[test]
-fn a_large_change_goes_out_in_records_that_the_store_takes() {
-    let mut book = EntryTable::default();
-    let mut draft = PendingChanges::new(0, Duration::ZERO);
+fn a_large_change_is_split_into_records_that_the_store_accepts() {
+    let mut table = EntryTable::default();
+    let mut pending = PendingChanges::new(0, Duration::ZERO);
     for number in 0..SERVERS {
-        let change = book.apply(number, present(number, 1)).expect("a change");
-        draft.push(number, change, Duration::ZERO);
+        let change = table.apply(number, present(number, 1)).expect("a change");
+        pending.push(number, change, Duration::ZERO);
     }
     let mut follower = EntryTable::default();
     let mut changes = 0;
-    for part in draft.change_sets(book.position()) {
-        let bytes = codec::encode(&part).expect("news are encoded");
+    for part in pending.change_sets(table.position()) {
+        let bytes = codec::encode(&part).expect("the change set is encoded");
         assert!(bytes.len() < 262_144, "{} bytes", bytes.len());
         changes += follower.apply_change_set(part).expect("no gap").len();
     }
     assert_eq!(changes, SERVERS as usize);
-    assert_eq!(follower.position(), book.position());
+    assert_eq!(follower.position(), table.position());
 }
 
 #[test]
-fn news_that_are_missing_are_seen_and_copies_change_nothing() {
-    let mut book = EntryTable::new(&[entry(1, 1, ServerPhase::Serving)], 100);
-    let news = |from, upto, changes| ServerChangeSet {
+fn missing_change_sets_are_detected_and_repeated_ones_change_nothing() {
+    let mut table = EntryTable::new(&[entry(1, 1, ServerPhase::Serving)], 100);
+    let change_set = |from, upto, changes| ServerChangeSet {
         from,
         upto,
         changes,
     };
-    let first = news(90, 110, vec![(95, gone(1)), (105, present(2, 1))]);
-    let changes = book.apply_change_set(first.clone()).expect("no gap");
-    // The record at 95 is contained in what was read.
+    let first = change_set(90, 110, vec![(95, gone(1)), (105, present(2, 1))]);
+    let changes = table.apply_change_set(first.clone()).expect("no gap");
+    // The record at 95 is already contained in what was read.
     assert_eq!(changes, [present(2, 1)]);
-    assert_eq!(book.apply_change_set(first).expect("no gap"), []);
-    let later = news(120, 130, vec![(125, gone(2))]);
+    assert_eq!(table.apply_change_set(first).expect("no gap"), []);
+    let later = change_set(120, 130, vec![(125, gone(2))]);
     assert_eq!(
-        book.apply_change_set(later),
+        table.apply_change_set(later),
         Err(ChangeGap { position: 110 })
     );
-    assert_eq!(book.position(), 110);
+    assert_eq!(table.position(), 110);
 }
 
-/// A relay that dies costs less than the 2 s in which a leaving server must be
-/// known.
+/// If a relay fails, the next one takes over within the 2 s in which a draining
+/// server must be known.
 #[test]
-fn the_next_relay_and_then_each_instance_step_in_within_two_seconds() {
+fn the_next_relay_and_then_each_instance_take_over_within_two_seconds() {
     let mut first = PendingChanges::new(0, Duration::ZERO);
     let mut second = first.clone();
-    for draft in [&mut first, &mut second] {
-        draft.push(7, gone(1), ms(300));
+    for pending in [&mut first, &mut second] {
+        pending.push(7, gone(1), ms(300));
     }
     assert!(first.is_due(0, ms(300)));
     assert!(!second.is_due(1, ms(600)));
@@ -133,10 +136,10 @@
 }
 
 proptest! {
-    /// A follower of several relays, whose news come late, in copies and with
-    /// some of them lost, knows what the entries say once it has caught up.
+    /// A follower of several relays, whose change sets arrive late, repeatedly or
+    /// not at all, has the state of the entries once it has caught up.
     #[test]
-    fn whatever_news_are_lost_a_follower_ends_with_what_the_entries_say(
+    fn a_follower_ends_with_the_state_of_the_entries_despite_lost_change_sets(
         writes in vec((0_u64..6, 0_u64..3, 0_u8..8), 1..60),
         cuts in vec((0_usize..60, 0_usize..60), 0..12),
         lost in vec(0_usize..24, 0..8),
@@ -157,39 +160,39 @@
                 ServerChange::Gone(name) => drop(truth.remove(name)),
             }
         }
-        // Two relays publish what they read between two of their cuts.
+        // Each of two relays publishes what it read between two of its cuts.
         let mut published = Vec::new();
         for relay in 0..2_usize {
             let mut ends: Vec<usize> = cuts.iter().map(|cut| [cut.0, cut.1][relay]).collect();
             ends.retain(|end| *end < records.len());
             ends.push(records.len());
             ends.sort_unstable();
-            let mut book = EntryTable::default();
-            let mut draft = PendingChanges::new(0, Duration::ZERO);
+            let mut table = EntryTable::default();
+            let mut pending = PendingChanges::new(0, Duration::ZERO);
             let mut next = 0;
             for end in ends {
                 for (offset, change) in &records[next..end.max(next)] {
-                    if let Some(change) = book.apply(*offset, change.clone()) {
-                        draft.push(*offset, change, Duration::ZERO);
+                    if let Some(change) = table.apply(*offset, change.clone()) {
+                        pending.push(*offset, change, Duration::ZERO);
                     }
                 }
                 next = end.max(next);
-                published.extend(draft.change_sets(book.position()));
-                draft.note_published(book.position(), Duration::ZERO);
+                published.extend(pending.change_sets(table.position()));
+                pending.note_published(table.position(), Duration::ZERO);
             }
         }
-        published.sort_by_key(|news| news.upto);
+        published.sort_by_key(|change_set| change_set.upto);
         let mut follower = EntryTable::default();
         let mut known: BTreeMap<ServerName, ServerEntry> = BTreeMap::new();
         let mut apply = |change: ServerChange| match change {
             ServerChange::Present(entry) => drop(known.insert(entry.name.clone(), entry)),
             ServerChange::Gone(name) => drop(known.remove(&name)),
         };
-        for (number, news) in published.into_iter().enumerate() {
+        for (number, change_set) in published.into_iter().enumerate() {
             if lost.contains(&number) {
                 continue;
             }
-            match follower.apply_change_set(news) {
+            match follower.apply_change_set(change_set) {
                 Ok(changes) => changes.into_iter().for_each(&mut apply),
                 Err(gap) => {
                     for (offset, change) in &records[gap.position as usize..] {
--- a/crates/hibiscus-traffic/tests/standings.rs
+++ b/crates/hibiscus-traffic/tests/standings.rs
@@ -1,4 +1,4 @@
-//! What servers' processes have said, over entries that come and go.
+//! Tests the availability of server processes whose entries come and go.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 use hibiscus_traffic::availability_table::AvailabilityTable;
 use hibiscus_traffic::model::ServerStart;
 
-/// Processes that leave and are gone, more than are remembered.
+/// More draining processes without an entry than are remembered.
 const MANY: u64 = 40_000;
 
 fn start(started: u64) -> ServerStart {
@@ -18,13 +18,13 @@
 }
 
 fn eligibility(table: &mut AvailabilityTable, started: u64) -> ServerEligibility {
-    let said = table.get_or_insert(&start(started));
-    let said = said.borrow();
-    said.eligibility(Instant::now())
+    let availability = table.get_or_insert(&start(started));
+    let availability = availability.borrow();
+    availability.eligibility(Instant::now())
 }
 
 #[test]
-fn news_of_a_leaving_process_hold_for_the_entry_that_comes_later() {
+fn a_process_that_drains_before_its_entry_arrives_stays_draining() {
     let mut table = AvailabilityTable::default();
     assert!(table.note_draining(&start(5)));
     assert!(!table.note_draining(&start(5)));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn late_news_of_a_process_say_nothing_of_the_next_one() {
+fn a_late_notice_about_a_process_does_not_affect_the_next_one() {
     let mut table = AvailabilityTable::default();
     let _next = table.get_or_insert(&start(6));
     assert!(table.note_draining(&start(5)));
@@ -42,12 +42,13 @@
 }
 
 #[test]
-fn what_a_process_said_holds_on_while_its_entry_is_away() {
+fn a_pause_outlasts_the_removal_of_the_entry() {
     let mut table = AvailabilityTable::default();
-    let said = table.get_or_insert(&start(5));
-    said.borrow_mut()
+    let availability = table.get_or_insert(&start(5));
+    availability
+        .borrow_mut()
         .note_refused(Some(Duration::from_secs(60)), Instant::now());
-    drop(said);
+    drop(availability);
     table.note_entry_removed(&start(5));
     let back = eligibility(&mut table, 5);
     assert!(
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn processes_without_an_entry_are_forgotten_in_the_end_and_others_are_not() {
+fn only_processes_without_an_entry_are_forgotten() {
     let mut table = AvailabilityTable::default();
     let kept = table.get_or_insert(&start(0));
     kept.borrow_mut().note_draining();
