--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -14,28 +14,28 @@
 use hibiscus_peer::PinnedError;
 use hibiscus_peer::PinnedKeys;
 use hibiscus_peer::PinnedLink;
-use hibiscus_traffic::answer;
 use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::clock::MachineClock;
 use hibiscus_traffic::crash_detector;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::machine;
 use hibiscus_traffic::machine::MachineLimits;
-use hibiscus_traffic::measures;
 use hibiscus_traffic::members;
 use hibiscus_traffic::model::InstanceEntry;
 use hibiscus_traffic::peers;
 use hibiscus_traffic::port;
 use hibiscus_traffic::port::CallerAddress;
 use hibiscus_traffic::recovery;
-use hibiscus_traffic::relay::AnswerBody;
+use hibiscus_traffic::response;
+use hibiscus_traffic::response_body::ResponseBody;
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
 use hibiscus_traffic::shares::MemoryShares;
-use hibiscus_traffic::state::TrafficParts;
+use hibiscus_traffic::state::TrafficComponents;
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::supply;
 use hibiscus_traffic::suspects::SuspectTracker;
+use hibiscus_traffic::traffic_metrics;
 use hibiscus_traffic::updates;
 use hibiscus_traffic::updates::UpdateReceiver;
 use hibiscus_types::IncarnationId;
@@ -151,7 +151,7 @@
         peers: settings.peers,
         pin: keys.pin(),
         data_centre: settings.data_centre.clone(),
-        leaving: false,
+        shutting_down: false,
         capacity: settings.capacity(),
     };
     let limits = MachineLimits {
@@ -177,7 +177,7 @@
         clock.now().millis
     );
     let store = StoreClient::new(settings.store);
-    let (sender, receiver) = updates::ring();
+    let (sender, receiver) = updates::channel();
     let (outbox, batches) = mpsc::sync_channel(append::RING_CAPACITY);
     let (news, suspect_batches) = mpsc::sync_channel(suspects::RING_CAPACITY);
     spawn("signals", {
@@ -227,14 +227,14 @@
         slack: settings.retry_slack,
         window: settings.retry_window,
     });
-    let state = Rc::new(TrafficState::new(TrafficParts {
-        dialect: PlatformDialect,
+    let state = Rc::new(TrafficState::new(TrafficComponents {
+        wire_format: PlatformDialect,
         data_centre: settings.data_centre.clone(),
         budgets: desk,
         retries,
         directory: InstanceDirectory::new(own.clone()),
         suspects: SuspectTracker::new(own.name.clone(), news),
-        bounds: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
+        memory_shares: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
         limits,
         first_start: settings.first_start,
     }));
@@ -263,12 +263,12 @@
 
 /// The recorder of the metrics, with the bounds of its histograms.
 fn recorder() -> Result<PrometheusRecorder> {
-    let times = &measures::TIME_BOUNDS;
+    let times = &traffic_metrics::TIME_BOUNDS;
     let bounds = [
-        (measures::FIRST_EVENT, &times[..]),
-        (measures::REQUEST_TIME, &times[..]),
-        (measures::EVENT_GAP, &measures::GAP_BOUNDS[..]),
-        (measures::TIMER_LATENESS, &times[..]),
+        (traffic_metrics::FIRST_EVENT, &times[..]),
+        (traffic_metrics::REQUEST_TIME, &times[..]),
+        (traffic_metrics::EVENT_GAP, &traffic_metrics::GAP_BOUNDS[..]),
+        (traffic_metrics::TIMER_LATENESS, &times[..]),
         (platform::store::CALL_TIME, &times[..]),
     ];
     let mut builder = PrometheusBuilder::new();
@@ -305,29 +305,29 @@
     let readiness = bind(settings.readiness).await?;
     let directory = bind(settings.directory).await?;
     let operators = bind(settings.metrics).await?;
-    let (inbox, calls) = tokio::sync::mpsc::channel(peers::RING_CAPACITY);
+    let (inbox, calls) = tokio::sync::mpsc::channel(peers::REQUEST_QUEUE_CAPACITY);
     let link = PinnedLink::open(settings.peers, &keys, &state.pins, inbox)?;
     *state.link.borrow_mut() = Some(link);
     state.budgets.set_start_time();
-    tokio::task::spawn_local(peers::answer_calls(Rc::clone(&state), calls));
+    tokio::task::spawn_local(peers::answer_peer_requests(Rc::clone(&state), calls));
     tokio::task::spawn_local(recovery::close_unproven(Rc::clone(&state)));
     tokio::task::spawn_local(recovery::close_ended_processes(Rc::clone(&state)));
     tokio::task::spawn_local(members::keep(Rc::clone(&state), answers::READINESS_PATH));
     tokio::task::spawn_local(crash_detector::run(Rc::clone(&state)));
     tokio::task::spawn_local(hibiscus_traffic::suspects::run(Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_callers(callers, Rc::clone(&state)));
-    tokio::task::spawn_local(port::serve_calls(
+    tokio::task::spawn_local(port::serve_status_requests(
         readiness,
         Rc::clone(&state),
         answer_ready,
     ));
     let lifetime = ADDRESS_LIFETIME.min(settings.address_lifetime);
-    tokio::task::spawn_local(port::serve_calls(
+    tokio::task::spawn_local(port::serve_status_requests(
         directory,
         Rc::clone(&state),
         move |state: &FrontState, request| answer_addresses(state, request, lifetime),
     ));
-    tokio::task::spawn_local(port::serve_calls(operators, Rc::clone(&state), {
+    tokio::task::spawn_local(port::serve_status_requests(operators, Rc::clone(&state), {
         let metrics = metrics.clone();
         move |_state: &FrontState, request: &Request<Incoming>| answer_metrics(&metrics, request)
     }));
@@ -335,7 +335,7 @@
     tokio::task::spawn_local(watch_memory(Rc::clone(&state)));
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    while state.stopping().is_none() {
+    while state.shutdown_start().is_none() {
         tokio::select! {
             update = updates.recv() => {
                 if let Some(update) = update {
@@ -347,22 +347,22 @@
                 state.expire_servers();
                 state.directory.borrow_mut().tick();
                 let large = state.directory.borrow().is_large();
-                duty.set(state.relay_place(), large);
-                state.members.notify_one();
-                state.end_slow_heads();
+                duty.set(state.relay_rank(), large);
+                state.membership_changed.notify_one();
+                state.close_slow_heads();
                 state.share_server_connections();
                 state.review_budgets();
                 supply::return_idle(&state);
             }
         }
-        accounts.set(state.follows_accounts());
+        accounts.set(state.reads_account_stream());
     }
     spawn("announce", move || {
-        let leaving = InstanceEntry {
-            leaving: true,
+        let shutting_down = InstanceEntry {
+            shutting_down: true,
             ..own
         };
-        follow::announce(&store, &leaving);
+        follow::announce(&store, &shutting_down);
     })?;
     stop(settings, &state, &mut updates).await;
     Ok(())
@@ -407,7 +407,7 @@
         tokio::time::sleep(MEMORY_PAUSE).await;
         state.drop_unusable_links();
         if let Some(resident) = machine::resident() {
-            state.note_memory(resident);
+            state.observe_memory(resident);
         }
     }
 }
@@ -466,7 +466,7 @@
         }
     }
     // What an instance knows that does not follow the stream is old.
-    if !state.follows_accounts() {
+    if !state.reads_account_stream() {
         return;
     }
     state.budgets.write_snapshots();
@@ -484,15 +484,15 @@
 }
 
 /// Answers the readiness check.
-fn answer_ready(state: &FrontState, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn answer_ready(state: &FrontState, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() != answers::READINESS_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
     state.tally.readiness_requests.add();
     if state.directory.borrow().is_ready() {
-        answer::status_answer(http::StatusCode::OK)
+        response::status_response(http::StatusCode::OK)
     } else {
-        answer::status_answer(http::StatusCode::SERVICE_UNAVAILABLE)
+        response::status_response(http::StatusCode::SERVICE_UNAVAILABLE)
     }
 }
 
@@ -501,9 +501,9 @@
     state: &FrontState,
     request: &Request<Incoming>,
     lifetime: Duration,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if request.uri().path() != answers::DIRECTORY_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
     let data_centre = answers::caller_data_centre(query);
@@ -512,13 +512,16 @@
     let caller = caller.map(|caller| caller.0);
     let addresses = directory.addresses_for(data_centre.as_ref(), caller);
     let body = answers::addresses_body(&addresses, lifetime);
-    answer::json_answer(body)
+    response::json_response(body)
 }
 
 /// Answers a call for the metrics.
-fn answer_metrics(metrics: &PrometheusHandle, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn answer_metrics(
+    metrics: &PrometheusHandle,
+    request: &Request<Incoming>,
+) -> Response<ResponseBody> {
     if request.uri().path() != METRICS_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
-    answer::text_answer(metrics.render())
+    response::text_response(metrics.render())
 }
--- a/crates/hibiscus-membership/src/address.rs
+++ b/crates/hibiscus-membership/src/address.rs
@@ -1,4 +1,4 @@
-//! Answers to callers who ask which address to use.
+//! Ranks instance addresses for callers that request one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,35 +10,41 @@
 use crate::ranking;
 use crate::view::FleetInstance;
 
-/// Time that a caller may keep an answer.
+/// Time for which a caller may cache a response.
 pub const ADDRESS_LIFETIME: Duration = Duration::from_secs(30);
-/// Requests in progress that no instance is passed over for.
+/// Requests in progress above the bound for the average load that do not yet
+/// lower an instance's rank.
 const LOAD_SLACK: u64 = 16;
 
 /// Ranked addresses, best first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AddressAnswer {
+pub struct AddressRanking {
     /// Addresses to try in order.
     pub addresses: Vec<SocketAddr>,
-    /// Seconds that the answer may be kept.
+    /// Seconds for which the response may be cached.
     pub lifetime_s: u64,
 }
 
-/// Ranks `ready` for `caller`: its own data centre first, and within it by
-/// rendezvous hashing, so that callers spread and keep their address.
-pub fn answer(caller: &str, nearby: &DataCentre, ready: &[FleetInstance]) -> AddressAnswer {
-    answer_by_load(caller, nearby, ready, |_instance| 0)
+/// Ranks the `ready` instances for `caller`: first those in the data centre
+/// `nearby`, and within each group by rendezvous hashing, which spreads callers
+/// and keeps their addresses stable.
+pub fn rank_addresses(
+    caller: &str,
+    nearby: &DataCentre,
+    ready: &[FleetInstance],
+) -> AddressRanking {
+    rank_addresses_by_load(caller, nearby, ready, |_instance| 0)
 }
 
-/// As [`answer`], but an instance whose load is well above the average of
-/// its data centre comes after the others there. Below that bound an answer
-/// depends on the membership alone, so callers keep their address.
-pub fn answer_by_load<F>(
+/// Like [`rank_addresses`], but places instances whose load is well above the
+/// average of the data centre `nearby` after the others there. Below that bound
+/// the ranking depends only on the membership, so callers keep their address.
+pub fn rank_addresses_by_load<F>(
     caller: &str,
     nearby: &DataCentre,
     ready: &[FleetInstance],
     load_of: F,
-) -> AddressAnswer
+) -> AddressRanking
 where
     F: Fn(&FleetInstance) -> u32,
 {
@@ -51,14 +57,14 @@
         let far = instance.data_centre != *nearby;
         (far, !far && u64::from(load_of(instance)) > bound)
     });
-    AddressAnswer {
+    AddressRanking {
         addresses: ranked.iter().map(|instance| instance.callers).collect(),
         lifetime_s: ADDRESS_LIFETIME.as_secs(),
     }
 }
 
-/// The load above which an instance is passed over: a quarter above the
-/// average and some slack.
+/// Returns the load above which an instance ranks lower: a quarter above the
+/// average, plus [`LOAD_SLACK`].
 fn load_bound(loads: impl Iterator<Item = u32>) -> u64 {
     let mut sum = 0;
     let mut count = 0;
--- a/crates/hibiscus-traffic/src/availability_table.rs
+++ b/crates/hibiscus-traffic/src/availability_table.rs
@@ -11,7 +11,7 @@
 
 use hibiscus_routing::availability::ServerAvailability;
 
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 
 /// Maximum number of processes without an entry that are remembered: more than
 /// drain within the time for which one of them may still respond.
@@ -23,20 +23,20 @@
 /// Availability of server processes.
 #[derive(Debug, Default)]
 pub struct AvailabilityTable {
-    known: HashMap<ServerStart, SharedAvailability>,
+    known: HashMap<ServerIncarnation, SharedAvailability>,
     /// Processes without an entry, oldest first.
-    absent: VecDeque<ServerStart>,
+    absent: VecDeque<ServerIncarnation>,
 }
 
 impl AvailabilityTable {
     /// The availability of the process `start`, which is inserted if missing.
-    pub fn get_or_insert(&mut self, start: &ServerStart) -> SharedAvailability {
+    pub fn get_or_insert(&mut self, start: &ServerIncarnation) -> SharedAvailability {
         let known = self.known.entry(start.clone()).or_default();
         Rc::clone(known)
     }
 
     /// Marks `start` as draining; returns whether that is new.
-    pub fn note_draining(&mut self, start: &ServerStart) -> bool {
+    pub fn note_draining(&mut self, start: &ServerIncarnation) -> bool {
         let is_known = self.known.contains_key(start);
         let new = self.get_or_insert(start).borrow_mut().note_draining();
         if !is_known {
@@ -47,7 +47,7 @@
 
     /// Records that the entry of `start` was removed. Its availability is kept for
     /// a while if the process is draining or paused.
-    pub fn note_entry_removed(&mut self, start: &ServerStart) {
+    pub fn note_entry_removed(&mut self, start: &ServerIncarnation) {
         let Some(known) = self.known.get(start) else {
             return;
         };
--- a/crates/hibiscus-traffic/src/connect.rs
+++ b/crates/hibiscus-traffic/src/connect.rs
@@ -19,7 +19,7 @@
 use crate::idle::IdleConnection;
 
 /// Time for a new connection: links take a few milliseconds and a server 1 ms.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which sent bytes may stay unacknowledged; a path that is cut off
 /// shows in no other way.
 const ACKNOWLEDGE_LIMIT: Duration = Duration::from_millis(1_500);
@@ -55,9 +55,9 @@
 }
 
 /// Looks whether something listens at `address`.
-pub async fn look_at_port(address: SocketAddr) -> PortState {
+pub async fn probe_port(address: SocketAddr) -> PortState {
     let connect = TcpStream::connect(address);
-    match tokio::time::timeout(CONNECT_LIMIT, connect).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
         Ok(Ok(_stream)) => PortState::Open,
         Ok(Err(error)) => match error.kind() {
             ErrorKind::ConnectionRefused => PortState::Closed,
@@ -72,7 +72,7 @@
 /// One connection. Dropping it closes the socket at once, which tells the
 /// server to stop.
 #[derive(Debug)]
-pub struct ServerLink {
+pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
     head: HeadByteCounter,
     task: JoinHandle<()>,
@@ -80,7 +80,7 @@
     parked: Option<Instant>,
 }
 
-impl ServerLink {
+impl ServerConnection {
     /// Connects to the server at `address`.
     ///
     /// # Errors
@@ -88,7 +88,7 @@
     /// Fails when the server refuses or stays silent.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         let connect = TcpStream::connect(address);
-        let stream = match tokio::time::timeout(CONNECT_LIMIT, connect).await {
+        let stream = match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
                 return Err(ConnectFault::Closed);
@@ -135,14 +135,14 @@
     }
 }
 
-impl IdleConnection for ServerLink {
+impl IdleConnection for ServerConnection {
     fn is_usable(&self) -> bool {
         let rested = self.parked.map_or(Duration::ZERO, |since| since.elapsed());
         !self.sender.is_closed() && rested < self.idle_limit
     }
 }
 
-impl Drop for ServerLink {
+impl Drop for ServerConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/hibiscus-traffic/src/crash_detector.rs
+++ b/crates/hibiscus-traffic/src/crash_detector.rs
@@ -27,10 +27,10 @@
 use crate::callers::BodyBytes;
 use crate::connect;
 use crate::connect::PortState;
-use crate::dialect::WireFormat;
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Counts servers that crashed while they ran requests of this instance.
 pub const SERVERS_CRASHED: &str = "hibiscus_servers_ended_total";
@@ -212,9 +212,9 @@
 /// Collects requests whose connections to their servers broke.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    cases: RefCell<HashMap<ServerStart, CrashCase>>,
+    cases: RefCell<HashMap<ServerIncarnation, CrashCase>>,
     /// Servers whose port was found open, and when.
-    open: RefCell<HashMap<ServerStart, Instant>>,
+    open: RefCell<HashMap<ServerIncarnation, Instant>>,
     /// Time of the last known crash of a server.
     last_crash: Cell<Option<Instant>>,
     noted: Notify,
@@ -227,7 +227,7 @@
         if server.is_closed() && request.is_none() {
             return;
         }
-        let process = server.entry.start();
+        let process = server.entry.incarnation();
         let found = self.open.borrow().get(&process).copied();
         if found.is_some_and(|found| found.elapsed() < OPEN_PORT_RECHECK_DELAY) {
             return;
@@ -270,7 +270,7 @@
 
     /// Ends the check of `server`; returns the requests whose connections broke.
     fn finish_check(&self, server: &ServerHandle, port: PortState) -> Vec<CrashCandidate> {
-        let process = server.entry.start();
+        let process = server.entry.incarnation();
         if port == PortState::Open {
             let mut open = self.open.borrow_mut();
             open.retain(|_process, found| found.elapsed() < OPEN_PORT_RECHECK_DELAY);
@@ -297,7 +297,7 @@
     let port = if server.has_open_link() {
         PortState::Open
     } else {
-        connect::look_at_port(server.entry.address).await
+        connect::probe_port(server.entry.address).await
     };
     let requests = state.crash_detector.finish_check(&server, port);
     let entry = &server.entry;
--- a/crates/hibiscus-traffic/src/life.rs
+++ b/crates/hibiscus-traffic/src/handler.rs
@@ -18,18 +18,18 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 
-use crate::answer;
-use crate::answer::LocalReason;
-use crate::answer::LocalRefusal;
 use crate::callers::CallerRequest;
-use crate::dialect::WireFormat;
-use crate::flight::RequestProgress;
-use crate::life::admission::AdmittedRequest;
-use crate::life::forwarding::ForwardedAnswer;
-use crate::measures::RequestOutcome;
+use crate::handler::admission::AdmittedRequest;
+use crate::handler::forwarding::ForwardedAnswer;
+use crate::in_flight::RequestProgress;
 use crate::model::RequestKind;
-use crate::relay::AnswerBody;
+use crate::response;
+use crate::response::LocalReason;
+use crate::response::LocalRefusal;
+use crate::response_body::ResponseBody;
 use crate::state::TrafficState;
+use crate::traffic_metrics::RequestOutcome;
+use crate::wire_format::WireFormat;
 
 /// Result of a step; the reason is the answer.
 type Result<T> = std::result::Result<T, LocalRefusal>;
@@ -79,7 +79,7 @@
     state: Rc<TrafficState<D>>,
     request: Request<Incoming>,
     caller: CallerRequest,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let progress = RequestProgress::new(caller, state.count_request());
     let mut unanswered = UnansweredRequest {
         known: KnownRequest {
@@ -114,7 +114,7 @@
     known: &mut KnownRequest,
 ) -> Result<(AdmittedRequest, ForwardedAnswer)> {
     let (head, body) = request.into_parts();
-    let signs = state.dialect.caller_signs(&head.headers);
+    let signs = state.wire_format.parse_caller_headers(&head.headers);
     let signs = signs.map_err(|_fault| LocalReason::BadRequest)?;
     known.id.clone_from(&signs.id);
     if state.is_closing() {
@@ -136,7 +136,7 @@
     state: &TrafficState<D>,
     refusal: LocalRefusal,
     known: &KnownRequest,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let reason = refusal.reason;
     let taken = known.arrived.elapsed();
     event!(
@@ -146,7 +146,9 @@
         reason.word(),
         taken.as_millis()
     );
-    state.measures.own_answer(reason);
-    state.measures.ended(known.kind, RequestOutcome::Own, taken);
-    answer::own_answer(&state.dialect, refusal, &known.id)
+    state.measures.count_local_response(reason);
+    state
+        .measures
+        .record_request_end(known.kind, RequestOutcome::Own, taken);
+    response::local_response(&state.wire_format, refusal, &known.id)
 }
--- a/crates/hibiscus-traffic/src/life/admission.rs
+++ b/crates/hibiscus-traffic/src/handler/admission.rs
@@ -13,20 +13,20 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::answer::LocalReason;
 use crate::callers::BodyBytes;
 use crate::crash_detector::RequestIdentity;
-use crate::dialect::CallerHeaders;
-use crate::dialect::WireFormat;
-use crate::life::KnownRequest;
-use crate::life::Result;
+use crate::handler::KnownRequest;
+use crate::handler::Result;
 use crate::model::RouteRule;
 use crate::model::TeamRule;
+use crate::response::LocalReason;
 use crate::send;
 use crate::state::TrafficState;
 use crate::state::start;
 use crate::table;
 use crate::table::RouteTable;
+use crate::wire_format::CallerHeaders;
+use crate::wire_format::WireFormat;
 
 /// A request that may be sent.
 #[derive(Debug)]
@@ -55,8 +55,8 @@
     known: &mut KnownRequest,
 ) -> Result<AdmittedRequest> {
     let arrived = known.arrived;
-    if let Some(end) = start::wait_end(arrived, signs.deadline, state.now()) {
-        state.wait_known(end).await;
+    if let Some(end) = start::startup_wait_end(arrived, signs.deadline, state.now()) {
+        state.wait_until_configured(end).await;
     }
     let table = state.table().ok_or(LocalReason::NoConfig)?;
     let host = head.headers.get(header::HOST);
@@ -70,7 +70,7 @@
         return Err(LocalReason::UnknownKey.into());
     }
     let pick = fastrand::u32(..);
-    let service = table::service_of(&route, pick).ok_or(LocalReason::NoServer)?;
+    let service = table::pick_service(&route, pick).ok_or(LocalReason::NoServer)?;
     let service = service.clone();
     let wait = signs.deadline.unwrap_or(route.timeout).min(route.timeout);
     let until = arrived + wait;
@@ -81,7 +81,7 @@
     known.body_read = true;
     let mut headers = head.headers;
     send::strip_connection_headers(&mut headers);
-    state.dialect.strip_own(&mut headers);
+    state.wire_format.strip_internal_headers(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let caller = team.as_ref().map(|team| team.name.clone());
     Ok(AdmittedRequest {
--- a/crates/hibiscus-traffic/src/life/forwarding.rs
+++ b/crates/hibiscus-traffic/src/handler/forwarding.rs
@@ -16,36 +16,36 @@
 use http_body_util::Limited;
 use hyper::body::Incoming;
 
-use crate::answer::LocalReason;
-use crate::answer::LocalRefusal;
 use crate::connect::ConnectFault;
 use crate::crash_detector::CrashCandidate;
 use crate::crash_detector::CrashDetector;
 use crate::crash_detector::StreamCandidate;
-use crate::dialect::CallerHeaders;
-use crate::dialect::ServerHeaders;
-use crate::dialect::WireFormat;
-use crate::flight::FlightWatch;
-use crate::flight::InFlightRequest;
-use crate::flight::RequestCharge;
-use crate::flight::RequestProgress;
-use crate::life::Result;
-use crate::life::admission::AdmittedRequest;
-use crate::measures::RequestOutcome;
-use crate::measures::TrafficMetrics;
-use crate::relay::AnswerBody;
-use crate::relay::StreamForwarder;
+use crate::handler::Result;
+use crate::handler::admission::AdmittedRequest;
+use crate::in_flight::InFlightRequest;
+use crate::in_flight::RequestCharge;
+use crate::in_flight::RequestProgress;
+use crate::in_flight::ResponseTracker;
+use crate::response::LocalReason;
+use crate::response::LocalRefusal;
+use crate::response_body::ResponseBody;
+use crate::response_body::StreamForwarder;
 use crate::send;
 use crate::send::FailureCause;
 use crate::send::OutgoingRequest;
 use crate::send::SendOutcome;
-use crate::send::ServerAnswer;
+use crate::send::ServerResponse;
 use crate::servers::NoServer;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 use crate::suspects;
 use crate::suspects::SuspectStatus;
 use crate::suspects::SuspectTracker;
+use crate::traffic_metrics::RequestOutcome;
+use crate::traffic_metrics::TrafficMetrics;
+use crate::wire_format::CallerHeaders;
+use crate::wire_format::ServerHeaders;
+use crate::wire_format::WireFormat;
 
 /// Servers tried for one request while none has run it.
 const TRIES: usize = 4;
@@ -188,12 +188,12 @@
             NextStep::Elsewhere => {}
             NextStep::End => break,
             NextStep::Retry => {
-                let instances = state.directory.borrow().may_serve();
+                let instances = state.directory.borrow().possibly_live_count();
                 let mut retries = state.retries.borrow_mut();
                 if !retries.take_retry(&admitted.service, instances, state.now()) {
                     break;
                 }
-                state.measures.retried();
+                state.measures.count_retry();
             }
         }
     }
@@ -221,7 +221,7 @@
         own_tokens,
         now: state.now(),
     };
-    let others = state.directory.borrow().live().saturating_sub(1);
+    let others = state.directory.borrow().live_count().saturating_sub(1);
     let chosen = state.servers.borrow().choose(
         &admitted.service,
         &trail.tried,
@@ -246,7 +246,7 @@
         urgency: urgency(admitted),
         resume_after: None,
     };
-    state.dialect.set_server_signs(&signs, &mut headers);
+    state.wire_format.set_server_headers(&signs, &mut headers);
     let outgoing = OutgoingRequest {
         method: &admitted.method,
         target: admitted.identity.target(),
@@ -254,7 +254,7 @@
         body: &admitted.identity.body,
         id: &admitted.signs.id,
         until: admitted.until,
-        leaves_silent: may_run_again(admitted, trail.runs + 1),
+        abandon_if_silent: may_run_again(admitted, trail.runs + 1),
     };
     let suspect = match &standing {
         SuspectStatus::Clear => None,
@@ -276,7 +276,7 @@
     );
     let request = CrashCandidate::new(&admitted.signs.id, &admitted.identity, standing.rounds());
     let has_other = || {
-        let instances = state.directory.borrow().may_serve();
+        let instances = state.directory.borrow().possibly_live_count();
         let mut retries = state.retries.borrow_mut();
         retries.has_retry(&admitted.service, instances, state.now())
             && state
@@ -284,9 +284,9 @@
                 .borrow()
                 .has_other(&admitted.service, &trail.tried)
     };
-    let report = send::send(&state.dialect, flight, &outgoing, has_other).await;
+    let report = send::send(&state.wire_format, flight, &outgoing, has_other).await;
     if report.leaving {
-        state.note_draining(&chosen.server.entry.start(), "answer");
+        state.note_draining(&chosen.server.entry.incarnation(), "answer");
     }
     let attempt = SentAttempt {
         server: chosen.server,
@@ -423,20 +423,20 @@
         admitted: &AdmittedRequest,
         progress: RequestProgress,
         measures: Rc<TrafficMetrics>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let kind = admitted.route.kind;
         let stream = match self {
             Self::Whole(answer) => {
                 let taken = admitted.arrived.elapsed();
-                measures.first_event(kind, taken);
-                measures.ended(Some(kind), RequestOutcome::Passed, taken);
-                return answer.map(AnswerBody::whole);
+                measures.record_first_event(kind, taken);
+                measures.record_request_end(Some(kind), RequestOutcome::Passed, taken);
+                return answer.map(ResponseBody::whole);
             }
             Self::Stream(stream) => *stream,
         };
         let attempt = stream.attempt;
         let engine = admitted.table.engine(&admitted.service);
-        let watch = FlightWatch {
+        let watch = ResponseTracker {
             id: admitted.signs.id.clone(),
             kind,
             arrived: admitted.arrived,
@@ -452,7 +452,7 @@
         };
         let deadline = tokio::time::sleep_until(admitted.until.into());
         let relay = StreamForwarder::new(stream.body, admitted.signs.resume_after, deadline, watch);
-        Response::from_parts(stream.head, AnswerBody::Stream(Box::new(relay)))
+        Response::from_parts(stream.head, ResponseBody::Stream(Box::new(relay)))
     }
 }
 
@@ -460,7 +460,7 @@
 /// is gathered first, so that a broken one is never begun.
 async fn take_answer(
     admitted: &AdmittedRequest,
-    answer: ServerAnswer,
+    answer: ServerResponse,
     charge: Option<&Rc<RequestCharge>>,
     attempt: &SentAttempt,
 ) -> std::result::Result<ForwardedAnswer, FailureCause> {
--- a/crates/hibiscus-traffic/src/life/reservation.rs
+++ b/crates/hibiscus-traffic/src/handler/reservation.rs
@@ -5,15 +5,15 @@
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
 
-use crate::answer::LocalReason;
-use crate::answer::LocalRefusal;
 use crate::budgets::TokenRefusal;
-use crate::dialect::WireFormat;
-use crate::flight::RequestCharge;
-use crate::life::Result;
-use crate::life::admission::AdmittedRequest;
+use crate::handler::Result;
+use crate::handler::admission::AdmittedRequest;
+use crate::in_flight::RequestCharge;
+use crate::response::LocalReason;
+use crate::response::LocalRefusal;
 use crate::state::TrafficState;
 use crate::supply;
+use crate::wire_format::WireFormat;
 
 /// Logs what was held when a request got no tokens.
 pub(super) fn log_shortage<D: WireFormat>(state: &TrafficState<D>, admitted: &AdmittedRequest) {
--- a/crates/hibiscus-traffic/src/members.rs
+++ b/crates/hibiscus-traffic/src/members.rs
@@ -1,7 +1,7 @@
 //! Has other instances watched, and passes on what watchers find.
 //!
 //! Which of them this instance watches and what it must tell, the directory
-//! decides ([`hibiscus_membership::silence`]); here are the tasks and the
+//! decides ([`hibiscus_membership::detector`]); here are the tasks and the
 //! times. News go to the contacts at once, and again after a pause; an
 //! exchange with one of them repairs what got lost.
 
@@ -11,19 +11,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hibiscus_membership::verdict::SilenceMessage;
+use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_types::IncarnationId;
 use tokio::time::Instant;
 
-use crate::dialect::WireFormat;
 use crate::model::InstanceEntry;
 use crate::peers;
 use crate::probe;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Least time between two messages of news to a contact: findings that come
 /// together go together, and the loss of many machines costs no more.
-const NOTICE_PAUSE: Duration = Duration::from_millis(100);
+const NEWS_PAUSE: Duration = Duration::from_millis(100);
 /// Time between two exchanges that repair.
 const EXCHANGE_PAUSE: Duration = Duration::from_secs(2);
 
@@ -36,19 +36,19 @@
     let mut next_news = Instant::now();
     let mut next_exchange = Instant::now() + EXCHANGE_PAUSE;
     loop {
-        let has_news = state.directory.borrow().has_news();
+        let has_news = state.directory.borrow().has_updates();
         let due = if has_news { next_news } else { next_exchange };
         tokio::select! {
-            () = state.members.notified() => {}
+            () = state.membership_changed.notified() => {}
             () = tokio::time::sleep_until(due) => {}
         }
         start_watches(&state, &running, path);
         let now = Instant::now();
         if now >= next_news {
-            let news = state.directory.borrow_mut().next_news();
+            let news = state.directory.borrow_mut().next_update();
             if let Some(message) = news {
                 tell_contacts(&state, &message);
-                next_news = now + NOTICE_PAUSE;
+                next_news = now + NEWS_PAUSE;
             }
         }
         if now >= next_exchange {
@@ -65,7 +65,7 @@
     path: &'static str,
 ) {
     let directory = state.directory.borrow();
-    for entry in directory.watched() {
+    for entry in directory.monitored() {
         if !running.borrow_mut().insert(entry.incarnation) {
             continue;
         }
@@ -85,12 +85,12 @@
     probe::watch(Rc::clone(&state), entry, path).await;
     running.borrow_mut().remove(&incarnation);
     // It may have become one to watch again since the last look.
-    state.members.notify_one();
+    state.membership_changed.notify_one();
 }
 
 /// Passes news on to all contacts.
-fn tell_contacts<D: WireFormat>(state: &Rc<TrafficState<D>>, message: &SilenceMessage) {
-    for contact in state.directory.borrow().contacts() {
+fn tell_contacts<D: WireFormat>(state: &Rc<TrafficState<D>>, message: &SuspicionMessage) {
+    for contact in state.directory.borrow().contact_addresses() {
         tokio::task::spawn_local(tell(Rc::clone(state), contact, message.clone()));
     }
 }
@@ -98,7 +98,7 @@
 /// Repairs what one of the contacts and this instance missed.
 fn exchange<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     let mut directory = state.directory.borrow_mut();
-    let contact = fastrand::choice(directory.contacts());
+    let contact = fastrand::choice(directory.contact_addresses());
     let Some(contact) = contact.filter(|_contact| directory.is_large()) else {
         return;
     };
@@ -110,15 +110,18 @@
 async fn tell<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
-    message: SilenceMessage,
+    message: SuspicionMessage,
 ) {
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
     let joining = message.joining;
-    let Some(answer) = peers::tell_silence(&link, contact, message).await else {
+    let Some(answer) = peers::send_suspicions(&link, contact, message).await else {
         return;
     };
-    state.directory.borrow_mut().take_answer(answer, joining);
-    state.members.notify_one();
+    state
+        .directory
+        .borrow_mut()
+        .handle_response(answer, joining);
+    state.membership_changed.notify_one();
 }
--- a/crates/hibiscus-traffic/src/port.rs
+++ b/crates/hibiscus-traffic/src/port.rs
@@ -22,11 +22,11 @@
 
 use crate::callers::CallerConnection;
 use crate::connect;
-use crate::dialect::WireFormat;
-use crate::life;
-use crate::relay::AnswerBody;
+use crate::handler;
+use crate::response_body::ResponseBody;
 use crate::state::TrafficState;
 use crate::tally::CloseReason;
+use crate::wire_format::WireFormat;
 
 /// Time for a head while no configuration is known.
 const FIRST_IDLE_LIMIT: Duration = Duration::from_secs(15);
@@ -77,10 +77,13 @@
 }
 
 /// Answers calls about this instance with `answer`.
-pub async fn serve_calls<D, F>(listener: TcpListener, state: Rc<TrafficState<D>>, answer: F)
-where
+pub async fn serve_status_requests<D, F>(
+    listener: TcpListener,
+    state: Rc<TrafficState<D>>,
+    answer: F,
+) where
     D: WireFormat,
-    F: Fn(&TrafficState<D>, &Request<Incoming>) -> Response<AnswerBody> + Clone + 'static,
+    F: Fn(&TrafficState<D>, &Request<Incoming>) -> Response<ResponseBody> + Clone + 'static,
 {
     loop {
         let Some((stream, from)) = accept(&listener).await else {
@@ -131,7 +134,7 @@
     let service = service_fn(|request: Request<Incoming>| {
         let state = Rc::clone(&state);
         let progress = caller.begin_request();
-        async move { Ok::<_, Infallible>(life::serve(state, request, progress).await) }
+        async move { Ok::<_, Infallible>(handler::serve(state, request, progress).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/hibiscus-traffic/src/probe.rs
+++ b/crates/hibiscus-traffic/src/probe.rs
@@ -13,14 +13,14 @@
 use http_body_util::BodyExt;
 use http_body_util::Full;
 
-use crate::connect::ServerLink;
-use crate::dialect::WireFormat;
+use crate::connect::ServerConnection;
 use crate::idle::IdleConnection;
 use crate::model::InstanceEntry;
 use crate::state::TrafficState;
 use crate::tally::PeerRequestKind;
 use crate::tally::PeerRequestOutcome;
 use crate::updates::TrafficUpdate;
+use crate::wire_format::WireFormat;
 
 /// Time between two probes, short enough that callers learn of an instance's crash
 /// within a second.
@@ -43,7 +43,7 @@
 ) {
     let mut link = None;
     let mut last_serves = None;
-    while state.directory.borrow().watches(&entry) {
+    while state.directory.borrow().monitors(&entry) {
         let exchange = request_readiness(&mut link, &entry, path);
         let response = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
         let serves = matches!(response, Ok(Some(StatusCode::OK)));
@@ -72,7 +72,10 @@
 }
 
 /// Waits until the next probe is due.
-async fn wait_for_next_request<D: WireFormat>(state: &TrafficState<D>, link: Option<&ServerLink>) {
+async fn wait_for_next_request<D: WireFormat>(
+    state: &TrafficState<D>,
+    link: Option<&ServerConnection>,
+) {
     if !state.directory.borrow().is_large() {
         tokio::time::sleep(REQUEST_INTERVAL).await;
         return;
@@ -88,12 +91,12 @@
 
 /// Sends one probe on the idle connection, or on a new one.
 async fn request_readiness(
-    link: &mut Option<ServerLink>,
+    link: &mut Option<ServerConnection>,
     entry: &InstanceEntry,
     path: &'static str,
 ) -> Option<StatusCode> {
     if link.as_ref().is_none_or(|link| !link.is_usable()) {
-        *link = ServerLink::open(entry.readiness).await.ok();
+        *link = ServerConnection::open(entry.readiness).await.ok();
     }
     let sender = link.as_mut()?.sender();
     sender.ready().await.ok()?;
--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -24,9 +24,9 @@
 use hibiscus_types::UnixMillis;
 
 use crate::budgets::RecoveryPhase;
-use crate::dialect::WireFormat;
 use crate::peers;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Instances asked, so that of five readings three may be wrong; each new
 /// connection costs 7 ms of a core.
@@ -67,7 +67,7 @@
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
         tokio::time::sleep(STRANGERS_PAUSE).await;
-        if state.budgets.recovery() == RecoveryPhase::Reading || !state.keeps_accounts() {
+        if state.budgets.recovery() == RecoveryPhase::Reading || !state.closes_accounts() {
             continue;
         }
         let machines_with_ended_processes = {
@@ -99,14 +99,16 @@
     let (Some(link), Some(peer)) = (link, peer) else {
         return;
     };
-    let Some(process) = peers::ask_process(&link, peer).await else {
+    let Some(process) = peers::request_process(&link, peer).await else {
         return;
     };
     let present = process.incarnation;
     let began = state
         .now()
-        .saturating_sub(Duration::from_millis(process.age));
-    let left = state.budgets.close_machine(machine, present, process.began);
+        .saturating_sub(Duration::from_millis(process.age_ms));
+    let left = state
+        .budgets
+        .close_machine(machine, present, process.started_at);
     state.review_budgets();
     if left == 0 {
         return;
@@ -153,8 +155,8 @@
         return;
     };
     // There are links to the other holders; a new one costs a handshake.
-    let mut holders = state.fellow_holders();
-    let mut others = state.directory.borrow().peers();
+    let mut holders = state.co_holders();
+    let mut others = state.directory.borrow().peer_addresses();
     others.retain(|other| !holders.contains(other));
     fastrand::shuffle(&mut others);
     holders.append(&mut others);
@@ -162,7 +164,7 @@
     holders.truncate(ASKED_LIMIT.saturating_sub(answers.len()));
     for other in holders {
         let asked = state.now().saturating_sub(began);
-        if let Some(reading) = peers::ask_time(&link, other).await {
+        if let Some(reading) = peers::request_time_of_day(&link, other).await {
             answers.insert(other, at_start(reading, asked));
         }
     }
--- a/crates/hibiscus-traffic/src/answer.rs
+++ b/crates/hibiscus-traffic/src/response.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use http::header;
 
-use crate::dialect::WireFormat;
-use crate::relay::AnswerBody;
+use crate::response_body::ResponseBody;
+use crate::wire_format::WireFormat;
 
 /// Part of the time until there is a chance over which returns are spread.
 const RETURN_SPREAD: f64 = 0.4;
@@ -147,17 +147,17 @@
 }
 
 /// The answer that tells `refusal` for the request `id`.
-pub fn own_answer<D: WireFormat>(
+pub fn local_response<D: WireFormat>(
     dialect: &D,
     refusal: LocalRefusal,
     id: &str,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let reason = refusal.reason;
     let body = Bytes::from_static(reason.word().as_bytes());
-    let mut answer = Response::new(AnswerBody::whole(body));
+    let mut answer = Response::new(ResponseBody::whole(body));
     *answer.status_mut() = reason.status();
     let headers = answer.headers_mut();
-    dialect.set_answer_id(id, headers);
+    dialect.set_response_id(id, headers);
     if let Some(after) = refusal.retry_after() {
         let after = format!("{:.3}", after.as_secs_f64());
         if let Ok(after) = HeaderValue::from_str(&after) {
@@ -171,24 +171,24 @@
 }
 
 /// An answer without a body.
-pub fn status_answer(status: StatusCode) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::Whole(None));
+pub fn status_response(status: StatusCode) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::Whole(None));
     *answer.status_mut() = status;
     answer
 }
 
 /// An answer with a JSON body.
-pub fn json_answer(body: Vec<u8>) -> Response<AnswerBody> {
+pub fn json_response(body: Vec<u8>) -> Response<ResponseBody> {
     typed_answer(Bytes::from(body), "application/json")
 }
 
 /// An answer with a text body.
-pub fn text_answer(body: String) -> Response<AnswerBody> {
+pub fn text_response(body: String) -> Response<ResponseBody> {
     typed_answer(Bytes::from(body), "text/plain; version=0.0.4")
 }
 
-fn typed_answer(body: Bytes, kind: &'static str) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(body));
+fn typed_answer(body: Bytes, kind: &'static str) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(body));
     let kind = HeaderValue::from_static(kind);
     answer.headers_mut().insert(header::CONTENT_TYPE, kind);
     answer
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -25,13 +25,13 @@
 
 use crate::availability_table::AvailabilityTable;
 use crate::availability_table::SharedAvailability;
-use crate::connect::ServerLink;
+use crate::connect::ServerConnection;
 use crate::idle::IdleConnectionId;
 use crate::idle::IdleConnections;
 use crate::model::ServerEntry;
+use crate::model::ServerIncarnation;
 use crate::model::ServerLoadReport;
 use crate::model::ServerPhase;
-use crate::model::ServerStart;
 use crate::server_registry::RegistryChange;
 
 /// Counts servers that asked to be avoided, by service and cause.
@@ -77,7 +77,7 @@
     /// Idle connections, the most recently used last.
     idle: RefCell<Vec<IdleConnectionId>>,
     idle_limit: Cell<usize>,
-    idle_links: Rc<IdleConnections<ServerLink>>,
+    idle_links: Rc<IdleConnections<ServerConnection>>,
 }
 
 impl ServerHandle {
@@ -85,7 +85,7 @@
         entry: ServerEntry,
         availability: SharedAvailability,
         own: &InstanceName,
-        idle_links: &Rc<IdleConnections<ServerLink>>,
+        idle_links: &Rc<IdleConnections<ServerConnection>>,
     ) -> Self {
         Self {
             jitter: placement::jitter_of(own.as_str(), entry.name.as_str()),
@@ -194,7 +194,7 @@
     }
 
     /// Takes an idle connection, the most recently used first.
-    pub fn take_idle(&self) -> Option<ServerLink> {
+    pub fn take_idle(&self) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(ticket) = idle.pop() {
             if let Some(link) = self.idle_links.take(ticket) {
@@ -211,7 +211,7 @@
     }
 
     /// Keeps a connection for later requests.
-    pub fn park(&self, mut link: ServerLink) {
+    pub fn park(&self, mut link: ServerConnection) {
         if !self.is_serving() {
             return;
         }
@@ -306,7 +306,7 @@
 #[derive(Debug)]
 pub struct ServerPool {
     own: InstanceName,
-    idle_links: Rc<IdleConnections<ServerLink>>,
+    idle_links: Rc<IdleConnections<ServerConnection>>,
     availability_table: AvailabilityTable,
     by_name: HashMap<ServerName, Rc<ServerHandle>>,
     by_service: HashMap<ServiceName, Vec<Rc<ServerHandle>>>,
@@ -339,7 +339,7 @@
     }
 
     /// The idle connections to all servers.
-    pub fn idle_links(&self) -> &IdleConnections<ServerLink> {
+    pub fn idle_links(&self) -> &IdleConnections<ServerConnection> {
         &self.idle_links
     }
 
@@ -384,7 +384,7 @@
     }
 
     /// Marks the server process `start` as draining; returns whether that is new.
-    pub fn note_draining(&mut self, start: &ServerStart) -> bool {
+    pub fn note_draining(&mut self, start: &ServerIncarnation) -> bool {
         let new = self.availability_table.note_draining(start);
         if new && let Some(server) = self.find(&start.server, start.started) {
             server.drop_idle(0);
@@ -476,13 +476,13 @@
         if same {
             return;
         }
-        let start = entry.start();
+        let start = entry.incarnation();
         let availability = self.availability_table.get_or_insert(&start);
         if let Some(before) = self.detach(&entry.name)
-            && before.entry.start() != start
+            && before.entry.incarnation() != start
         {
             self.availability_table
-                .note_entry_removed(&before.entry.start());
+                .note_entry_removed(&before.entry.incarnation());
         }
         let server = Rc::new(ServerHandle::new(
             entry,
@@ -502,7 +502,7 @@
     fn remove(&mut self, name: &ServerName) {
         if let Some(server) = self.detach(name) {
             self.availability_table
-                .note_entry_removed(&server.entry.start());
+                .note_entry_removed(&server.entry.incarnation());
         }
     }
 
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -32,11 +32,11 @@
 
 use crate::crash_detector::CrashCandidate;
 use crate::crash_detector::RequestIdentity;
-use crate::dialect::WireFormat;
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 use crate::peers;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Counts suspected requests by what was decided about them.
 pub const SUSPECT_REQUESTS: &str = "hibiscus_suspect_requests_total";
@@ -83,11 +83,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNotice {
     /// Servers whose ports were found closed.
-    pub servers: Vec<ServerStart>,
+    pub servers: Vec<ServerIncarnation>,
     /// Changes to the crash reports.
     pub suspects: Vec<SuspectRecord>,
     /// Servers that announced that they are draining.
-    pub draining: Vec<ServerStart>,
+    pub draining: Vec<ServerIncarnation>,
 }
 
 impl CrashNotice {
@@ -149,7 +149,7 @@
         let process = ServerProcess::of(&entry.name, entry.started);
         let mut records = Vec::with_capacity(requests.len());
         if self.crashes.borrow_mut().note_crash(process, now) {
-            self.queued.borrow_mut().servers.push(entry.start());
+            self.queued.borrow_mut().servers.push(entry.incarnation());
             self.has_queued.notify_one();
         }
         for request in requests {
@@ -185,7 +185,7 @@
     }
 
     /// Queues a notice that the server process `start` is draining.
-    pub fn note_draining(&self, start: ServerStart) {
+    pub fn note_draining(&self, start: ServerIncarnation) {
         self.queued.borrow_mut().draining.push(start);
         self.has_queued.notify_one();
     }
@@ -210,7 +210,7 @@
 
     /// Merges a notice from another instance at `now`; returns the crashed servers
     /// that were not known here.
-    pub fn merge_notice(&self, notice: &CrashNotice, now: Duration) -> Vec<ServerStart> {
+    pub fn merge_notice(&self, notice: &CrashNotice, now: Duration) -> Vec<ServerIncarnation> {
         let mut servers = Vec::new();
         for closed in &notice.servers {
             let process = ServerProcess::of(&closed.server, closed.started);
@@ -342,7 +342,7 @@
 impl<D: WireFormat> TrafficState<D> {
     /// Marks the server process `start` as draining, as reported by `source`: this
     /// instance sends it no new requests, and the other instances are notified.
-    pub fn note_draining(&self, start: &ServerStart, source: &str) {
+    pub fn note_draining(&self, start: &ServerIncarnation, source: &str) {
         if !self.servers.borrow_mut().note_draining(start) {
             return;
         }
@@ -416,7 +416,7 @@
             state.suspects.has_queued.notified().await;
             continue;
         }
-        let contacts = state.directory.borrow().contacts();
+        let contacts = state.directory.borrow().contact_addresses();
         for contact in contacts {
             tokio::task::spawn_local(send_notice(Rc::clone(&state), contact, notice.clone()));
         }
@@ -433,11 +433,11 @@
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
-    if peers::tell_endings(&link, contact, &notice).await {
+    if peers::send_crashes(&link, contact, &notice).await {
         return;
     }
     tokio::time::sleep(RESEND_PAUSE).await;
-    if !peers::tell_endings(&link, contact, &notice).await {
+    if !peers::send_crashes(&link, contact, &notice).await {
         event!(
             EventCode::SuspectsNotTold,
             "peer={contact} servers={} suspects={} leaving={}",
--- a/crates/hibiscus-traffic/src/measures.rs
+++ b/crates/hibiscus-traffic/src/traffic_metrics.rs
@@ -11,9 +11,9 @@
 use metrics::gauge;
 use metrics::histogram;
 
-use crate::answer::LocalReason;
 use crate::machine::MachineUse;
 use crate::model::RequestKind;
+use crate::response::LocalReason;
 
 /// Seconds from a request's arrival to the first event or byte of its answer.
 pub const FIRST_EVENT: &str = "hibiscus_first_event_seconds";
@@ -116,35 +116,40 @@
 
 impl TrafficMetrics {
     /// The first event or byte of an answer came `after` its request.
-    pub fn first_event(&self, kind: RequestKind, after: Duration) {
+    pub fn record_first_event(&self, kind: RequestKind, after: Duration) {
         self.of(Some(kind)).first_event.record(after);
     }
 
     /// An event came `after` the one before it.
-    pub fn event_gap(&self, after: Duration) {
+    pub fn record_event_gap(&self, after: Duration) {
         self.gap.record(after);
     }
 
     /// The timer was late by `delay`.
-    pub fn timer_late(&self, delay: Duration) {
+    pub fn record_timer_delay(&self, delay: Duration) {
         self.lateness.record(delay);
     }
 
     /// A request ended `after` it arrived; its kind is not known when no route
     /// took it.
-    pub fn ended(&self, kind: Option<RequestKind>, outcome: RequestOutcome, after: Duration) {
+    pub fn record_request_end(
+        &self,
+        kind: Option<RequestKind>,
+        outcome: RequestOutcome,
+        after: Duration,
+    ) {
         let measures = self.of(kind);
         measures.total.record(after);
         measures.outcomes[outcome as usize].increment(1);
     }
 
     /// A request is sent once more.
-    pub fn retried(&self) {
+    pub fn count_retry(&self) {
         self.retries.increment(1);
     }
 
     /// This instance answered itself.
-    pub fn own_answer(&self, reason: LocalReason) {
+    pub fn count_local_response(&self, reason: LocalReason) {
         counter!(OWN_ANSWERS, "reason" => reason.word()).increment(1);
     }
 
@@ -199,7 +204,7 @@
 
 impl TrafficGauges {
     /// Shows the levels on the metrics' address.
-    pub fn show(&self) {
+    pub fn publish(&self) {
         let (serving, leaving) = self.servers;
         let (held, reserved, spent) = self.tokens;
         let levels = [
--- a/crates/hibiscus-traffic/src/dialect.rs
+++ b/crates/hibiscus-traffic/src/wire_format.rs
@@ -65,7 +65,7 @@
     /// Its load.
     pub load: Option<ServerLoadReport>,
     /// Whether it leaves and takes no new requests.
-    pub leaving: bool,
+    pub draining: bool,
     /// Time for which it wants no request, if it refuses this one.
     pub pause: Option<Duration>,
 }
@@ -77,17 +77,17 @@
     /// # Errors
     ///
     /// Fails when a header that the request needs cannot be understood.
-    fn caller_signs(&self, headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault>;
+    fn parse_caller_headers(&self, headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault>;
 
     /// Removes headers that only the fleet may set.
-    fn strip_own(&self, headers: &mut HeaderMap);
+    fn strip_internal_headers(&self, headers: &mut HeaderMap);
 
     /// Sets what a server is told.
-    fn set_server_signs(&self, signs: &ServerHeaders<'_>, headers: &mut HeaderMap);
+    fn set_server_headers(&self, signs: &ServerHeaders<'_>, headers: &mut HeaderMap);
 
     /// Reads an answer's head.
-    fn answer_signs(&self, headers: &HeaderMap) -> ResponseHeaders;
+    fn parse_response_headers(&self, headers: &HeaderMap) -> ResponseHeaders;
 
     /// Names the request that an own answer is for.
-    fn set_answer_id(&self, id: &str, headers: &mut HeaderMap);
+    fn set_response_id(&self, id: &str, headers: &mut HeaderMap);
 }
--- a/crates/hibiscus-traffic/tests/parts.rs
+++ b/crates/hibiscus-traffic/tests/parts.rs
@@ -3,7 +3,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hibiscus_traffic::answer::LocalReason;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::model::CallerLimits;
 use hibiscus_traffic::model::FleetConfig;
@@ -12,6 +11,7 @@
 use hibiscus_traffic::model::RouteRule;
 use hibiscus_traffic::model::TeamRule;
 use hibiscus_traffic::model::WeightedService;
+use hibiscus_traffic::response::LocalReason;
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
 use hibiscus_traffic::stream::EventParser;
@@ -117,7 +117,7 @@
             route("/a/b/", &[("one", 90), ("two", 10)]),
         ],
         engines: Default::default(),
-        left_out: Vec::new(),
+        skipped_routes: Vec::new(),
         connections: Default::default(),
         teams: vec![Arc::new(TeamRule {
             name: "team".into(),
@@ -153,7 +153,7 @@
 #[test]
 fn a_route_splits_its_requests_by_weight() {
     let rule = route("/a/", &[("one", 90), ("two", 10)]);
-    let to_two = (0..1_000).filter(|pick| table::service_of(&rule, *pick) == Some(&"two".into()));
+    let to_two = (0..1_000).filter(|pick| table::pick_service(&rule, *pick) == Some(&"two".into()));
     assert_eq!(to_two.count(), 100);
 }
 
@@ -167,7 +167,7 @@
         peers: address(7_000),
         pin: [0; 32],
         data_centre: "a".into(),
-        leaving: false,
+        shutting_down: false,
         capacity: 500,
     }
 }
@@ -218,7 +218,7 @@
     let mut directory = InstanceDirectory::new(instance(0, 1));
     directory.set_ready(true);
     directory.announce(InstanceEntry {
-        leaving: true,
+        shutting_down: true,
         ..instance(1, 9)
     });
     let successor = instance(1, 3);
@@ -226,7 +226,7 @@
     directory.note_reachable(&successor, true);
     assert_eq!(directory.addresses(None).len(), 2);
     assert!(!directory.announce(instance(1, 9)));
-    assert!(directory.knows(&successor));
+    assert!(directory.is_current(&successor));
 }
 
 /// Instances on both sides of a cut send retries: each must keep to a share
@@ -240,8 +240,8 @@
         directory.note_reachable(&other, true);
         directory.note_reachable(&other, false);
     }
-    assert_eq!(directory.live(), 1);
-    assert_eq!(directory.may_serve(), 7);
+    assert_eq!(directory.live_count(), 1);
+    assert_eq!(directory.possibly_live_count(), 7);
 }
 
 #[test]
@@ -252,7 +252,7 @@
     directory.announce(other.clone());
     directory.note_reachable(&other, true);
     directory.announce(InstanceEntry {
-        leaving: true,
+        shutting_down: true,
         ..other
     });
     assert_eq!(directory.addresses(None), [instance(0, 1).callers]);
@@ -335,7 +335,7 @@
 fn instances_of_equal_capacity_are_all_named() {
     fastrand::seed(17);
     for directory in [fleet(20, 0), fleet(62, 0)] {
-        let expected = directory.live() as usize;
+        let expected = directory.live_count() as usize;
         for _answer in 0..50 {
             assert_eq!(directory.addresses(None).len(), expected);
         }
