--- a/crates/hibiscus-request/tests/quarantine.rs
+++ b/crates/hibiscus-request/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are suspects and which are quarantined.
+//! Tests which requests are suspects and which are quarantined.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use hibiscus_request::quarantine::SuspectTable;
 use hibiscus_types::UnixMillis;
 
-/// When the deaths of these tests are seen.
+/// Time at which the crashes of these tests are seen.
 const SEEN: UnixMillis = UnixMillis::new(1_000_000);
 
 fn fingerprint(body: &str) -> BodyFingerprint {
     BodyFingerprint::of(&"team".into(), "/path", body.as_bytes())
 }
 
-fn death(body: &str, server: &str, alone: bool) -> ServerCrash {
+fn crash(body: &str, server: &str, alone: bool) -> ServerCrash {
     ServerCrash {
         fingerprint: fingerprint(body),
         server: server.into(),
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn a_second_server_lost_alone_quarantines() {
+fn a_second_crash_while_the_request_runs_alone_quarantines_it() {
     let mut table = SuspectTable::default();
-    table.record(&death("crash", "server-1", false));
+    table.record(&crash("crash", "server-1", false));
     let once = table.suspicion(fingerprint("crash"), SEEN);
     assert_eq!(once, RequestSuspicion::Suspect);
-    table.record(&death("crash", "server-2", true));
+    table.record(&crash("crash", "server-2", true));
     let twice = table.suspicion(fingerprint("crash"), SEEN);
     assert_eq!(twice, RequestSuspicion::Quarantined);
     let other = table.suspicion(fingerprint("other"), SEEN);
@@ -39,20 +39,20 @@
 }
 
 #[test]
-fn repeats_of_one_death_do_not_quarantine() {
+fn repeated_reports_of_one_crash_do_not_quarantine() {
     let mut table = SuspectTable::default();
     for _repeat in 0..5 {
-        table.record(&death("crash", "server-1", true));
+        table.record(&crash("crash", "server-1", true));
     }
     let state = table.suspicion(fingerprint("crash"), SEEN);
     assert_eq!(state, RequestSuspicion::Suspect);
 }
 
 #[test]
-fn a_request_that_only_ran_beside_others_is_not_quarantined() {
+fn a_request_that_never_ran_alone_is_not_quarantined() {
     let mut table = SuspectTable::default();
     for server in ["server-1", "server-2", "server-3"] {
-        table.record(&death("innocent", server, false));
+        table.record(&crash("innocent", server, false));
     }
     let state = table.suspicion(fingerprint("innocent"), SEEN);
     assert_eq!(state, RequestSuspicion::Suspect);
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn deaths_are_forgotten_after_their_lifetime() {
+fn crashes_are_forgotten_after_their_lifetime() {
     let mut table = SuspectTable::default();
-    table.record(&death("crash", "server-1", true));
-    table.record(&death("crash", "server-2", true));
+    table.record(&crash("crash", "server-1", true));
+    table.record(&crash("crash", "server-2", true));
     let later = SEEN.after(CRASH_LIFETIME + Duration::from_millis(1));
     let state = table.suspicion(fingerprint("crash"), later);
     assert_eq!(state, RequestSuspicion::Clear);
@@ -75,7 +75,7 @@
 fn the_table_stays_bounded() {
     let mut table = SuspectTable::default();
     for index in 0..10_500 {
-        table.record(&death(&format!("body-{index}"), "server-1", false));
+        table.record(&crash(&format!("body-{index}"), "server-1", false));
     }
     assert_eq!(table.len(), 10_000);
 }
--- a/crates/hibiscus-traffic/src/server_registry.rs
+++ b/crates/hibiscus-traffic/src/server_registry.rs
@@ -1,8 +1,8 @@
-//! Which servers may be used, while the store comes and goes.
+//! Which servers may be used while the store is lost and returns.
 //!
-//! A server whose entry was removed while the store was away may only have
-//! been unable to renew it, so it stays until a little after the store's
-//! return; whoever is still missing then is gone.
+//! A server whose entry was removed during an outage of the store may just have
+//! failed to renew it. Such a server stays in the registry until shortly after
+//! the store returns, and is removed if its entry is still missing then.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,90 +12,90 @@
 use crate::model::ServerEntry;
 use crate::model::ServerPhase;
 
-/// Time after the store's return by which entries that lapsed are back, as
-/// the platform states it.
+/// Time after the store's return by which expired entries are written again,
+/// as stated by the platform.
 pub const ENTRY_RETURN_TIME: Duration = Duration::from_secs(2);
 
-/// One server of the roster.
+/// A server in the registry.
 #[derive(Clone, Debug)]
-struct RosterEntry {
+struct RegisteredServer {
     entry: ServerEntry,
-    /// When it is dropped unless it writes again.
-    lapses: Option<Duration>,
+    /// Time at which the server is removed unless its entry is written again.
+    expires_at: Option<Duration>,
 }
 
-/// What changed in the roster.
+/// Change to the servers in the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// A server is there, or described itself anew.
+    /// A server was added, or its entry changed.
     Present(ServerEntry),
-    /// A server is gone.
+    /// A server was removed.
     Gone(ServerName),
 }
 
-/// The servers by name.
+/// The servers that may be used, by name.
 #[derive(Clone, Debug, Default)]
 pub struct ServerRegistry {
-    servers: BTreeMap<ServerName, RosterEntry>,
-    away: bool,
-    returned: Option<Duration>,
+    servers: BTreeMap<ServerName, RegisteredServer>,
+    is_store_lost: bool,
+    store_returned_at: Option<Duration>,
 }
 
 impl ServerRegistry {
-    /// The store can't be read.
+    /// Records that the store cannot be read.
     pub fn note_store_lost(&mut self) {
-        self.away = true;
+        self.is_store_lost = true;
     }
 
-    /// The store was read again at `now`.
+    /// Records that the store was read at `now`.
     pub fn note_store_read(&mut self, now: Duration) {
-        if self.away {
-            self.returned = Some(now);
+        if self.is_store_lost {
+            self.store_returned_at = Some(now);
         }
-        self.away = false;
+        self.is_store_lost = false;
     }
 
-    /// Takes an entry over; `None` when nothing but its age changed.
+    /// Adds or updates an entry; returns `None` if only its age changed.
     pub fn put(&mut self, entry: ServerEntry) -> Option<RegistryChange> {
         let held = self.servers.get_mut(&entry.name);
         if let Some(held) = held {
-            held.lapses = None;
+            held.expires_at = None;
             if held.entry == entry {
                 return None;
             }
             held.entry = entry.clone();
             return Some(RegistryChange::Present(entry));
         }
-        let held = RosterEntry {
+        let held = RegisteredServer {
             entry: entry.clone(),
-            lapses: None,
+            expires_at: None,
         };
         self.servers.insert(entry.name.clone(), held);
         Some(RegistryChange::Present(entry))
     }
 
-    /// Takes the removal of an entry over.
+    /// Handles the removal of an entry from the store at `now`.
     pub fn remove(&mut self, name: &ServerName, now: Duration) -> Option<RegistryChange> {
-        let until = match self.returned {
-            _ if self.away => Some(now + ENTRY_RETURN_TIME),
-            Some(returned) if now < returned + ENTRY_RETURN_TIME => {
-                Some(returned + ENTRY_RETURN_TIME)
+        let until = match self.store_returned_at {
+            _ if self.is_store_lost => Some(now + ENTRY_RETURN_TIME),
+            Some(returned_at) if now < returned_at + ENTRY_RETURN_TIME => {
+                Some(returned_at + ENTRY_RETURN_TIME)
             }
             _ => None,
         };
         let held = self.servers.get_mut(name)?;
-        // One that had said it was leaving did not lapse by the outage.
+        // The entry of a draining server did not expire because of the outage.
         if let Some(until) = until
             && held.entry.phase == ServerPhase::Serving
         {
-            held.lapses = Some(until);
+            held.expires_at = Some(until);
             return None;
         }
         self.servers.remove(name);
         Some(RegistryChange::Gone(name.clone()))
     }
 
-    /// Takes over the newest entries of all servers, read at `now`.
+    /// Replaces all entries by `entries`, which were read at `now`.
     pub fn replace(&mut self, entries: Vec<ServerEntry>, now: Duration) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
         let mut missing = Vec::new();
@@ -113,14 +113,14 @@
         changes
     }
 
-    /// Drops the servers that did not come back by `now`.
+    /// Removes the servers whose entries did not return by `now`.
     pub fn expire(&mut self, now: Duration) -> Vec<RegistryChange> {
         let mut changes = Vec::new();
-        if self.away {
+        if self.is_store_lost {
             return changes;
         }
         self.servers.retain(|name, held| {
-            let gone = held.lapses.is_some_and(|until| now >= until);
+            let gone = held.expires_at.is_some_and(|until| now >= until);
             if gone {
                 changes.push(RegistryChange::Gone(name.clone()));
             }
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the request path uses them.
+//! Backend servers and the choice of a server for a request.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -34,47 +34,47 @@
 use crate::model::ServerPhase;
 use crate::server_registry::RegistryChange;
 
-/// Servers that were avoided since they said so, by service and cause.
+/// Counts servers that asked to be avoided, by service and cause.
 pub const SERVERS_AVOIDED: &str = "hibiscus_servers_avoided_total";
 
-/// Time without a byte from a server that has work, after which new requests
-/// avoid it: steps take some 5 ms, calls 30 ms, and prompts some 300 ms.
-const SILENCE_LIMIT: Duration = Duration::from_millis(450);
-/// Time for which a server that was found closed is avoided. Its entry lapses
-/// meanwhile, or names another start.
-const CLOSED_TIME: Duration = Duration::from_secs(6);
-/// Idle connections kept to one server at the most.
-const IDLE_LINKS: usize = 16;
-/// Part of the connections that a server accepts which all instances together
-/// keep idle; the rest is for requests in progress.
-const IDLE_PART: f64 = 0.5;
-
-/// Idle connections that one of `instances` keeps to a server that accepts
-/// `most` from all of them.
-pub fn idle_share(most: u32, instances: u32) -> usize {
-    let share = f64::from(most) * IDLE_PART / f64::from(instances.max(1));
-    (share as usize).clamp(1, IDLE_LINKS)
+/// Time without a byte from a server with requests in progress, after which new
+/// requests avoid it: steps take about 5 ms, calls 30 ms and prompts 300 ms.
+const SERVER_SILENCE_LIMIT: Duration = Duration::from_millis(450);
+/// Time for which a server whose port was closed is avoided. Meanwhile its entry
+/// expires or names a new process.
+const CLOSED_SERVER_AVOIDANCE: Duration = Duration::from_secs(6);
+/// Maximum number of idle connections per server.
+const IDLE_LINK_LIMIT: usize = 16;
+/// Share of a server's connection limit that all instances together keep idle; the
+/// rest is for requests in progress.
+const IDLE_SHARE: f64 = 0.5;
+
+/// Number of idle connections that one of `instances` instances keeps to a server
+/// that accepts `limit` connections from all of them.
+pub fn idle_share(limit: u32, instances: u32) -> usize {
+    let share = f64::from(limit) * IDLE_SHARE / f64::from(instances.max(1));
+    (share as usize).clamp(1, IDLE_LINK_LIMIT)
 }
 
-/// One server and what is known of it.
+/// A server process and its state as seen by this instance.
 #[derive(Debug)]
 pub struct ServerHandle {
-    /// Its own description.
+    /// The server's own entry.
     pub entry: ServerEntry,
-    gone: Cell<bool>,
-    /// When it was found that it has ended.
-    ended: Cell<Option<Instant>>,
+    removed: Cell<bool>,
+    /// Time at which the port was found closed.
+    closed_at: Cell<Option<Instant>>,
     load: RefCell<LoadTracker>,
     waiting: Cell<u32>,
     in_progress: Cell<u32>,
-    /// When it was last heard, or got work after it had none.
-    heard: Cell<Instant>,
+    /// Time of the last received byte, or of the first request after idling.
+    last_received: Cell<Instant>,
     health: RefCell<ServerHealth>,
     availability: SharedAvailability,
-    /// Its place in this instance's own order of the servers.
+    /// This instance's jitter for the server, from 0 to 1.
     jitter: f64,
     prefill: RefCell<PrefillTracker>,
-    /// Its connections that are kept, the one used last at the end.
+    /// Idle connections, the most recently used last.
     idle: RefCell<Vec<IdleConnectionId>>,
     idle_limit: Cell<usize>,
     idle_links: Rc<IdleConnections<ServerConnection>>,
@@ -90,35 +90,35 @@
         Self {
             jitter: placement::jitter_of(own.as_str(), entry.name.as_str()),
             entry,
-            gone: Cell::new(false),
-            ended: Cell::new(None),
+            removed: Cell::new(false),
+            closed_at: Cell::new(None),
             load: RefCell::default(),
             waiting: Cell::new(0),
             in_progress: Cell::new(0),
-            heard: Cell::new(Instant::now()),
+            last_received: Cell::new(Instant::now()),
             health: RefCell::default(),
             availability,
             prefill: RefCell::default(),
             idle: RefCell::default(),
-            idle_limit: Cell::new(IDLE_LINKS),
+            idle_limit: Cell::new(IDLE_LINK_LIMIT),
             idle_links: Rc::clone(idle_links),
         }
     }
 
-    /// Whether it does not leave.
+    /// Whether the server is present and not draining.
     pub fn is_serving(&self) -> bool {
-        let serving = !self.gone.get() && self.entry.phase == ServerPhase::Serving;
+        let serving = !self.removed.get() && self.entry.phase == ServerPhase::Serving;
         serving && !self.availability.borrow().is_draining()
     }
 
-    /// Whether the request that `trial` was noted for, and that has not left
-    /// yet, may still be sent.
+    /// Whether a request that was counted but not yet sent may still be sent;
+    /// `trial` is what [`Self::note_sent`] returned for it.
     pub fn still_accepts(&self, trial: bool) -> bool {
         let availability = self.availability.borrow();
         availability.still_accepts(trial, Instant::now())
     }
 
-    /// It refused a request, and wants none for `pause`.
+    /// Records that the server refused a request and requested a pause, if any.
     pub fn note_refused(&self, pause: Option<Duration>) {
         let mut availability = self.availability.borrow_mut();
         if pause.is_some() && !availability.is_paused() {
@@ -135,7 +135,7 @@
         availability.note_refused(pause, Instant::now());
     }
 
-    /// It took the request that `trial` was noted for.
+    /// Records that the server accepted the request that `trial` belongs to.
     pub fn note_accepted(&self, trial: bool) {
         let mut availability = self.availability.borrow_mut();
         let paused = availability.is_paused();
@@ -150,49 +150,50 @@
         }
     }
 
-    /// The request that `trial` was noted for ended without its word.
+    /// Records that the request that `trial` belongs to ended without a response.
     pub fn note_unanswered(&self, trial: bool) {
         self.availability.borrow_mut().note_unanswered(trial);
     }
 
-    /// Notes that its port is closed.
+    /// Records that the server's port is closed.
     pub fn note_closed(&self) {
-        self.ended.set(Some(Instant::now()));
+        self.closed_at.set(Some(Instant::now()));
         self.drop_idle(0);
     }
 
-    /// Whether it was found closed lately. One that starts again is another.
+    /// Whether the port was found closed recently. A restarted server has a new
+    /// handle.
     pub fn is_closed(&self) -> bool {
-        let ended = self.ended.get();
-        ended.is_some_and(|at| at.elapsed() < CLOSED_TIME)
+        let closed_at = self.closed_at.get();
+        closed_at.is_some_and(|at| at.elapsed() < CLOSED_SERVER_AVOIDANCE)
     }
 
-    /// Notes that bytes came from it.
+    /// Records that bytes were received from the server.
     pub fn note_received(&self) {
-        self.heard.set(Instant::now());
+        self.last_received.set(Instant::now());
     }
 
-    /// Requests of this instance in progress there.
+    /// Requests of this instance in progress at the server.
     pub fn in_progress(&self) -> u32 {
         self.in_progress.get()
     }
 
-    /// Whether it has work and has been silent for long.
+    /// Whether the server has requests in progress and has sent nothing for long.
     pub fn is_silent(&self) -> bool {
-        self.in_progress.get() > 0 && self.heard.get().elapsed() > SILENCE_LIMIT
+        self.in_progress.get() > 0 && self.last_received.get().elapsed() > SERVER_SILENCE_LIMIT
     }
 
-    /// Whether nothing speaks against sending to it.
-    fn is_well(&self, now: Instant) -> bool {
+    /// Whether the server is responsive, open and not ejected for failures.
+    fn is_healthy(&self, now: Instant) -> bool {
         !self.is_silent() && !self.is_closed() && self.health.borrow().is_usable(now)
     }
 
-    /// Whether it wants requests, as far as it said.
-    fn is_open(&self, now: Instant) -> bool {
+    /// Whether the server accepts new requests, as far as it has reported.
+    fn is_eligible(&self, now: Instant) -> bool {
         self.availability.borrow().eligibility(now) == ServerEligibility::Open
     }
 
-    /// An idle connection, the one used last first.
+    /// Takes an idle connection, the most recently used first.
     pub fn take_idle(&self) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(ticket) = idle.pop() {
@@ -203,7 +204,7 @@
         None
     }
 
-    /// Whether one of its idle connections is open.
+    /// Whether one of the idle connections is open.
     pub fn has_open_link(&self) -> bool {
         let idle = self.idle.borrow();
         idle.iter().any(|ticket| self.idle_links.is_usable(*ticket))
@@ -222,17 +223,17 @@
         }
     }
 
-    /// Drops the oldest idle connections until at most `most` are left.
-    fn drop_idle(&self, most: usize) {
+    /// Drops the oldest idle connections until at most `limit` remain.
+    fn drop_idle(&self, limit: usize) {
         let mut idle = self.idle.borrow_mut();
-        let surplus = idle.len().saturating_sub(most);
+        let surplus = idle.len().saturating_sub(limit);
         for ticket in idle.drain(..surplus) {
             drop(self.idle_links.take(ticket));
         }
     }
 
-    /// Counts a request sent there; whether it tries the server after a
-    /// refusal.
+    /// Counts a request sent to the server; returns whether it is a trial request
+    /// after a refusal.
     pub fn note_sent(&self, parts: &[PartTokens], prefill_tokens: u64, now: Duration) -> bool {
         if self.in_progress.get() == 0 {
             self.note_received();
@@ -246,7 +247,8 @@
         self.availability.borrow_mut().note_sent(Instant::now())
     }
 
-    /// Its first answer bytes came, so its prompt has been read.
+    /// Records that the first bytes of a response arrived, so the prompt was
+    /// prefilled.
     pub fn note_prefill_done(&self, prefill_tokens: u64) {
         self.prefill.borrow_mut().note_prefill_done(prefill_tokens);
     }
@@ -258,22 +260,22 @@
         self.load.borrow_mut().note_ended(Instant::now());
     }
 
-    /// The server answered properly.
+    /// Records that the server completed a request.
     pub fn note_healthy(&self) {
         self.health.borrow_mut().note_success();
     }
 
-    /// The server failed a request.
+    /// Records that the server failed a request.
     pub fn note_failed(&self) {
         self.health.borrow_mut().note_failed(Instant::now());
     }
 
-    /// A request showed nothing of the server's health.
+    /// Records that a request proved nothing about the server's health.
     pub fn note_inconclusive(&self) {
         self.health.borrow_mut().note_inconclusive();
     }
 
-    /// Takes a load report over.
+    /// Stores a load report.
     pub fn note_load(&self, report: &ServerLoadReport) {
         let load = report.running.saturating_add(report.waiting);
         self.load.borrow_mut().note_report(load, Instant::now());
@@ -281,26 +283,26 @@
     }
 }
 
-/// Where a request goes.
+/// The server chosen for a request.
 #[derive(Debug)]
 pub struct ChosenServer {
     /// The server.
     pub server: Rc<ServerHandle>,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that the server has to prefill.
     pub prefill_tokens: u64,
 }
 
 /// Why no server of a service can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoServer {
-    /// None is left that serves.
+    /// No server is left that serves requests.
     Missing,
-    /// Those that serve want no requests now; the first does after the time,
-    /// if it named one.
+    /// All serving servers are paused. Holds the time until the first one
+    /// resumes, if known.
     Pausing(Option<Duration>),
 }
 
-/// All servers, by service.
+/// All servers, by name and by service.
 #[derive(Debug)]
 pub struct ServerPool {
     own: InstanceName,
@@ -311,21 +313,21 @@
 }
 
 impl NoServer {
-    /// The reason when another server wants no requests until `until`.
-    fn or_back(self, until: Option<Instant>, now: Instant) -> Self {
-        let back = until.map(|until| until.saturating_duration_since(now));
+    /// Combines the reason with a further server that is paused until `until`.
+    fn with_pause_until(self, until: Option<Instant>, now: Instant) -> Self {
+        let remaining = until.map(|until| until.saturating_duration_since(now));
         match self {
-            Self::Pausing(Some(first)) => {
-                Self::Pausing(Some(back.map_or(first, |back| back.min(first))))
-            }
-            Self::Missing | Self::Pausing(None) => Self::Pausing(back),
+            Self::Pausing(Some(first)) => Self::Pausing(Some(
+                remaining.map_or(first, |remaining| remaining.min(first)),
+            )),
+            Self::Missing | Self::Pausing(None) => Self::Pausing(remaining),
         }
     }
 }
 
 impl ServerPool {
-    /// A pool of the instance `own` without servers, that keeps at most `idle`
-    /// connections to all of them.
+    /// An empty pool of the instance `own`, which keeps at most `idle` idle
+    /// connections to all servers together.
     pub fn new(own: InstanceName, idle: usize) -> Self {
         Self {
             own,
@@ -341,7 +343,7 @@
         &self.idle_links
     }
 
-    /// Takes a change of the roster over.
+    /// Applies a change of the server registry.
     pub fn apply(&mut self, change: RegistryChange) {
         match change {
             RegistryChange::Present(entry) => self.put(entry),
@@ -349,7 +351,7 @@
         }
     }
 
-    /// Keeps at most `limit` idle connections to each server of `service`.
+    /// Limits the idle connections to each server of `service`.
     pub fn set_idle_limit(&self, service: &ServiceName, limit: usize) {
         for server in self.by_service.get(service).into_iter().flatten() {
             server.idle_limit.set(limit);
@@ -357,14 +359,14 @@
         }
     }
 
-    /// Servers that take requests, and servers that are leaving.
+    /// Number of serving servers and of all others, which are draining.
     pub fn count(&self) -> (usize, usize) {
         let serving = self.by_name.values().filter(|server| server.is_serving());
         let serving = serving.count();
         (serving, self.by_name.len() - serving)
     }
 
-    /// Servers with work that have been silent for long.
+    /// Number of servers that have requests in progress and are silent.
     pub fn count_silent(&self) -> usize {
         let silent = self.by_name.values().filter(|server| server.is_silent());
         silent.count()
@@ -375,13 +377,13 @@
         self.by_name.is_empty()
     }
 
-    /// The process of the server `name` that began at `started`.
+    /// Finds the process of the server `name` that started at `started`.
     pub fn find(&self, name: &ServerName, started: u64) -> Option<&Rc<ServerHandle>> {
         let server = self.by_name.get(name);
         server.filter(|server| server.entry.started == started)
     }
 
-    /// Notes that the process `start` leaves; whether that is new.
+    /// Marks the server process `start` as draining; returns whether that is new.
     pub fn note_draining(&mut self, start: &ServerIncarnation) -> bool {
         let new = self.availability_table.note_draining(start);
         if new && let Some(server) = self.find(&start.server, start.started) {
@@ -392,20 +394,20 @@
         new
     }
 
-    /// Chooses a server of `service` that is not among `tried`. Servers that
-    /// failed, refused or were found closed lately are used only when there is
+    /// Chooses a server of `service` that is not in `tried`. Servers that failed,
+    /// refused a request or were found closed recently are used only if there is
     /// no other.
     ///
     /// # Errors
     ///
-    /// Fails when there is none that serves, or when all want no requests now.
+    /// Fails if no server of the service is serving, or all of them are paused.
     pub fn choose(
         &self,
         service: &ServiceName,
         tried: &[ServerName],
         data_centre: &DataCentre,
         others: u32,
-        case: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Result<ChosenServer, NoServer> {
         let now = Instant::now();
         let servers = self.by_service.get(service).ok_or(NoServer::Missing)?;
@@ -419,23 +421,23 @@
             match server.availability.borrow().eligibility(now) {
                 ServerEligibility::Open => usable.push(server),
                 ServerEligibility::LastResort => avoided.push(server),
-                ServerEligibility::Paused(until) => none = none.or_back(until, now),
+                ServerEligibility::Paused(until) => none = none.with_pause_until(until, now),
                 ServerEligibility::Draining => {}
             }
         }
-        let healthy = |server: &&Rc<ServerHandle>| server.is_well(now);
+        let healthy = |server: &&Rc<ServerHandle>| server.is_healthy(now);
         if usable.iter().any(healthy) {
             usable.retain(healthy);
         } else {
             usable.append(&mut avoided);
         }
-        let books: Vec<_> = usable
+        let prefills: Vec<_> = usable
             .iter()
             .map(|server| server.prefill.borrow())
             .collect();
-        let mut views = Vec::with_capacity(usable.len());
-        for (server, prefill) in usable.iter().zip(&books) {
-            views.push(PlacementCandidate {
+        let mut candidates = Vec::with_capacity(usable.len());
+        for (server, prefill) in usable.iter().zip(&prefills) {
+            candidates.push(PlacementCandidate {
                 name: server.entry.name.as_str(),
                 prefill,
                 expected: server.load.borrow().expected(now, others),
@@ -446,20 +448,21 @@
                 jitter: server.jitter,
             });
         }
-        let (index, prefill_tokens) = placement::choose(&views, case).ok_or(none)?;
+        let (index, prefill_tokens) = placement::choose(&candidates, request).ok_or(none)?;
         Ok(ChosenServer {
             server: Rc::clone(usable[index]),
             prefill_tokens,
         })
     }
 
-    /// Whether a server of `service` that was not `tried` takes requests and
-    /// is well.
+    /// Whether a healthy server of `service` that is not in `tried` accepts
+    /// requests.
     pub fn has_other(&self, service: &ServiceName, tried: &[ServerName]) -> bool {
         let now = Instant::now();
         let servers = self.by_service.get(service).into_iter().flatten();
         let mut others = servers.filter(|server| !tried.contains(&server.entry.name));
-        others.any(|server| server.is_serving() && server.is_open(now) && server.is_well(now))
+        others
+            .any(|server| server.is_serving() && server.is_eligible(now) && server.is_healthy(now))
     }
 
     fn put(&mut self, entry: ServerEntry) {
@@ -474,12 +477,12 @@
             return;
         }
         let start = entry.incarnation();
-        let availability = self.availability_table.of(&start);
-        if let Some(before) = self.take_out(&entry.name)
+        let availability = self.availability_table.get_or_insert(&start);
+        if let Some(before) = self.detach(&entry.name)
             && before.entry.incarnation() != start
         {
             self.availability_table
-                .note_absent(&before.entry.incarnation());
+                .note_entry_removed(&before.entry.incarnation());
         }
         let server = Rc::new(ServerHandle::new(
             entry,
@@ -497,16 +500,16 @@
     }
 
     fn remove(&mut self, name: &ServerName) {
-        if let Some(server) = self.take_out(name) {
+        if let Some(server) = self.detach(name) {
             self.availability_table
-                .note_absent(&server.entry.incarnation());
+                .note_entry_removed(&server.entry.incarnation());
         }
     }
 
-    /// Takes the handle of `name` out, which gets nothing more.
-    fn take_out(&mut self, name: &ServerName) -> Option<Rc<ServerHandle>> {
+    /// Removes the handle of `name` from the pool, and drops its idle connections.
+    fn detach(&mut self, name: &ServerName) -> Option<Rc<ServerHandle>> {
         let server = self.by_name.remove(name)?;
-        server.gone.set(true);
+        server.removed.set(true);
         server.drop_idle(0);
         if let Some(servers) = self.by_service.get_mut(&server.entry.service) {
             servers.retain(|held| held.entry.name != *name);
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -1,13 +1,11 @@
-//! Servers that ended, and the requests under which they did.
+//! Tracks requests that were running when servers crashed.
 //!
-//! Servers that say that they leave are told in the same way.
-//!
-//! [`SuspectTracker`] holds the book ([`hibiscus_request::suspects`]). News go two
-//! ways: over the link from neighbour to neighbour ([`run`]), which takes
-//! milliseconds and needs no store, and those of requests into a topic of the
-//! fleet, which outlives all processes. Whoever learns something new passes it
-//! on, so a server's end costs each instance a message to each of its few
-//! contacts.
+//! [`SuspectTracker`] holds the crash reports ([`hibiscus_request::suspects`]).
+//! They spread in two ways. Over the peer link ([`run`]) each instance forwards
+//! what is new to it to a few contacts, which takes milliseconds and needs no
+//! store, so that a crash costs each instance one message to each of its few
+//! contacts. Reports on requests are also appended to a topic of the fleet, which
+//! outlives all processes. Draining servers are announced over the link too.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -40,55 +38,55 @@
 use crate::state::TrafficState;
 use crate::wire_format::WireFormat;
 
-/// Requests under which servers ended, by what became of them.
+/// Counts suspected requests by what was decided about them.
 pub const SUSPECT_REQUESTS: &str = "hibiscus_suspect_requests_total";
-/// Requests in the book.
+/// Number of suspected requests that are tracked.
 pub const SUSPECTS: &str = "hibiscus_suspects";
 
-/// News of each kind in one message over the link: less than 20 KB.
-const NEWS_LIMIT: usize = 100;
-/// News that wait to be passed on over the link; the topic has what is lost.
-const WAITING_LIMIT: usize = 10_000;
-/// Pause after a message, so that what is found at the same moment goes
+/// Maximum number of items of each kind in one message: less than 20 KB.
+const NOTICE_ITEM_LIMIT: usize = 100;
+/// Maximum number of items queued for the link; the topic holds what is dropped.
+const QUEUED_ITEM_LIMIT: usize = 10_000;
+/// Pause after a message, so that items found at the same moment are sent
 /// together.
-const NEWS_PAUSE: Duration = Duration::from_millis(20);
-/// Pause before an instance that did not answer is told once more.
-const REPEAT_PAUSE: Duration = Duration::from_millis(200);
-/// Time after which another instance appends what the topic does not hold: the
-/// one that saw the server end may have been killed.
-const STORE_TIME: Duration = Duration::from_secs(5);
-/// Subject by which one instance is chosen for that.
-const STORE_SUBJECT: &str = "suspects";
+const NOTICE_PAUSE: Duration = Duration::from_millis(20);
+/// Pause before a notice is resent to an instance that did not respond.
+const RESEND_PAUSE: Duration = Duration::from_millis(200);
+/// Time after which the maintainer of the topic appends reports that it does not
+/// hold: the instance that detected the crash may have been killed.
+const APPEND_TAKEOVER_DELAY: Duration = Duration::from_secs(5);
+/// Subject by which the instance that maintains the topic is chosen.
+const MAINTAINER_SUBJECT: &str = "suspects";
 
-/// What a request that is to be sent is told.
+/// Whether a request may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SuspectStatus {
-    /// Nothing is known against it.
+    /// No server is known to have crashed while it ran the request.
     Clear,
-    /// Servers ended under it: it may be sent to one server.
+    /// Servers crashed while they ran the request: it may be sent to one server.
     Suspect(CrashSummary),
-    /// It must not be sent.
+    /// The request is quarantined and must not be sent.
     Quarantined(CrashSummary),
 }
 
 impl SuspectStatus {
-    /// Rounds of ends that are known.
+    /// Number of known rounds of crashes.
     pub fn rounds(&self) -> u8 {
         match self {
             Self::Clear => 0,
-            Self::Suspect(case) | Self::Quarantined(case) => case.rounds,
+            Self::Suspect(summary) | Self::Quarantined(summary) => summary.rounds,
         }
     }
 }
 
-/// What instances tell each other of servers that ended or leave.
+/// What instances report to each other about crashed and draining servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNotice {
     /// Servers whose ports were found closed.
     pub servers: Vec<ServerIncarnation>,
-    /// The requests under which servers ended.
+    /// Changes to the crash reports.
     pub suspects: Vec<SuspectRecord>,
-    /// Servers that said that they leave.
+    /// Servers that announced that they are draining.
     pub draining: Vec<ServerIncarnation>,
 }
 
@@ -98,73 +96,75 @@
     }
 }
 
-/// What the topic of the fleet holds.
+/// What was read from the topic of the fleet.
 #[derive(Debug)]
 pub enum SuspectUpdate {
-    /// All of it, read anew.
-    Whole(Vec<CrashReport>),
-    /// A record that was appended.
+    /// All reports in the topic, read again from the start.
+    Snapshot(Vec<CrashReport>),
+    /// A record that was appended to the topic.
     Appended(SuspectRecord),
 }
 
-/// Holds the requests under which servers ended.
+/// Tracks the requests that were running when servers crashed.
 #[derive(Debug)]
 pub struct SuspectTracker {
     own: InstanceName,
-    book: RefCell<CrashTable>,
-    waiting: RefCell<CrashNotice>,
-    has_news: Notify,
+    crashes: RefCell<CrashTable>,
+    queued: RefCell<CrashNotice>,
+    has_queued: Notify,
     outbox: SyncSender<Vec<SuspectRecord>>,
 }
 
 impl SuspectTracker {
-    /// The empty desk of the instance `own`, whose records go to `outbox`.
+    /// An empty tracker of the instance `own`, which sends new records to `outbox`.
     pub fn new(own: InstanceName, outbox: SyncSender<Vec<SuspectRecord>>) -> Self {
         Self {
             own,
-            book: RefCell::default(),
-            waiting: RefCell::default(),
-            has_news: Notify::new(),
+            crashes: RefCell::default(),
+            queued: RefCell::default(),
+            has_queued: Notify::new(),
             outbox,
         }
     }
 
-    /// What is known against a request. Its body is read only when others of
-    /// its team, path and length are known.
+    /// Returns whether a request may be sent. Its body is hashed only if a suspect
+    /// has the same team, path and length.
     pub fn status(&self, identity: &RequestIdentity) -> SuspectStatus {
-        let book = self.book.borrow();
-        if book.is_empty() || !book.may_hold(identity.coarse()) {
+        let crashes = self.crashes.borrow();
+        if crashes.is_empty() || !crashes.may_contain(identity.coarse()) {
             return SuspectStatus::Clear;
         }
-        match book.case(&identity.fingerprint(), UnixMillis::now()) {
+        match crashes.summary(&identity.fingerprint(), UnixMillis::now()) {
             None => SuspectStatus::Clear,
-            Some(case) if case.released.is_some() => SuspectStatus::Quarantined(case),
-            Some(case) => SuspectStatus::Suspect(case),
+            Some(summary) if summary.quarantined_until.is_some() => {
+                SuspectStatus::Quarantined(summary)
+            }
+            Some(summary) => SuspectStatus::Suspect(summary),
         }
     }
 
-    /// `server` ended at `now` under `requests`.
+    /// Records that `server` crashed at `now` while it ran `requests`.
     pub fn note_crash(&self, server: &ServerHandle, requests: &[CrashCandidate], now: Duration) {
         let entry = &server.entry;
         let process = ServerProcess::of(&entry.name, entry.started);
-        let mut news = Vec::with_capacity(requests.len());
-        if self.book.borrow_mut().note_crash(process, now) {
-            self.waiting.borrow_mut().servers.push(entry.incarnation());
-            self.has_news.notify_one();
+        let mut records = Vec::with_capacity(requests.len());
+        if self.crashes.borrow_mut().note_crash(process, now) {
+            self.queued.borrow_mut().servers.push(entry.incarnation());
+            self.has_queued.notify_one();
         }
         for request in requests {
             let fingerprint = request.fingerprint();
-            let mut book = self.book.borrow_mut();
-            let evidence = CrashReport {
+            let mut crashes = self.crashes.borrow_mut();
+            let report = CrashReport {
                 fingerprint,
                 server: entry.name.clone(),
                 started: entry.started,
-                known: request.known,
-                alone: book.is_alone(&fingerprint, process, now),
+                known_rounds: request.known_rounds,
+                isolated: crashes.is_isolated(&fingerprint, process, now),
                 reporter: self.own.clone(),
                 seen: UnixMillis::now(),
             };
-            let before = book.case(&fingerprint, evidence.seen);
+            let before = crashes.summary(&fingerprint, report.seen);
             event!(
                 EventCode::RequestAtEnd,
                 "request={} server={} print={fingerprint} bytes={} sent_ms={} known_rounds={} servers_before={} alone={}",
@@ -172,27 +172,28 @@
                 entry.name,
                 request.bytes(),
                 request.sent.elapsed().as_millis(),
-                request.known,
-                before.map_or(0, |case| case.servers),
-                evidence.alone
+                request.known_rounds,
+                before.map_or(0, |summary| summary.servers),
+                report.isolated
             );
-            if book.take(evidence.clone(), now) {
-                news.push(SuspectRecord::Crashed(evidence));
+            if crashes.merge(report.clone(), now) {
+                records.push(SuspectRecord::Crashed(report));
             }
         }
-        self.store(news.clone());
-        self.pass_on(news);
+        self.append(records.clone());
+        self.enqueue(records);
     }
 
-    /// The process `start` of a server leaves, which was not known here.
+    /// Queues a notice that the server process `start` is draining.
     pub fn note_draining(&self, start: ServerIncarnation) {
-        self.waiting.borrow_mut().draining.push(start);
-        self.has_news.notify_one();
+        self.queued.borrow_mut().draining.push(start);
+        self.has_queued.notify_one();
     }
 
-    /// The request was answered, so it ends no servers.
+    /// Clears a request that got a response, which proves that it crashes no
+    /// servers.
     pub fn note_response(&self, id: &str, fingerprint: &RequestFingerprint) {
-        let keys = self.book.borrow_mut().clear(fingerprint);
+        let keys = self.crashes.borrow_mut().clear(fingerprint);
         if keys.is_empty() {
             return;
         }
@@ -202,111 +203,108 @@
             "request={id} print={fingerprint} servers={}",
             keys.len()
         );
-        let news: Vec<_> = keys.into_iter().map(SuspectRecord::Removed).collect();
-        self.store(news.clone());
-        self.pass_on(news);
+        let records: Vec<_> = keys.into_iter().map(SuspectRecord::Removed).collect();
+        self.append(records.clone());
+        self.enqueue(records);
     }
 
-    /// Takes over at `now` what another instance tells; the servers of which
-    /// nothing was known.
-    pub fn take_news(&self, news: &CrashNotice, now: Duration) -> Vec<ServerIncarnation> {
+    /// Merges a notice from another instance at `now`; returns the crashed servers
+    /// that were not known here.
+    pub fn merge_notice(&self, notice: &CrashNotice, now: Duration) -> Vec<ServerIncarnation> {
         let mut servers = Vec::new();
-        for closed in &news.servers {
+        for closed in &notice.servers {
             let process = ServerProcess::of(&closed.server, closed.started);
-            if self.book.borrow_mut().note_crash(process, now) {
+            if self.crashes.borrow_mut().note_crash(process, now) {
                 servers.push(closed.clone());
             }
         }
-        self.waiting
-            .borrow_mut()
-            .servers
-            .extend_from_slice(&servers);
-        let mut suspects = news.suspects.clone();
-        suspects.retain(|item| self.take(item, "instance", now));
-        self.waiting.borrow_mut().suspects.extend(suspects);
-        self.has_news.notify_one();
+        self.queued.borrow_mut().servers.extend_from_slice(&servers);
+        let mut suspects = notice.suspects.clone();
+        suspects.retain(|item| self.merge(item, "instance", now));
+        self.queued.borrow_mut().suspects.extend(suspects);
+        self.has_queued.notify_one();
         servers
     }
 
-    /// Takes over at `now` what the topic holds. `keeps` says whether this
-    /// instance keeps the topic tidy.
-    pub fn take_stored(&self, update: SuspectUpdate, keeps: bool, now: Duration) {
+    /// Applies what was read from the topic at `now`. `maintains` is whether this
+    /// instance maintains the topic.
+    pub fn apply_update(&self, update: SuspectUpdate, maintains: bool, now: Duration) {
         match update {
-            SuspectUpdate::Whole(records) => {
+            SuspectUpdate::Snapshot(records) => {
                 let listed: BTreeSet<_> = records.iter().map(CrashReport::key).collect();
-                for evidence in records {
-                    self.take_record(SuspectRecord::Crashed(evidence), keeps, now);
+                for report in records {
+                    self.apply_record(SuspectRecord::Crashed(report), maintains, now);
                 }
-                self.book.borrow_mut().keep_stored(&listed);
+                self.crashes.borrow_mut().retain_stored(&listed);
             }
-            SuspectUpdate::Appended(news) => self.take_record(news, keeps, now),
+            SuspectUpdate::Appended(record) => self.apply_record(record, maintains, now),
         }
     }
 
-    fn take_record(&self, record: SuspectRecord, keeps: bool, now: Duration) {
+    fn apply_record(&self, record: SuspectRecord, maintains: bool, now: Duration) {
         let key = record.key();
-        let _new = self.take(&record, "topic", now);
+        let _new = self.merge(&record, "topic", now);
         if let SuspectRecord::Removed(_) = record {
             return;
         }
-        let mut book = self.book.borrow_mut();
-        book.note_stored(&key);
-        // A late append brought back what had been dropped.
-        let is_late = book.was_dropped(&key);
-        drop(book);
-        if is_late && keeps {
-            self.store(vec![SuspectRecord::Removed(key)]);
+        let mut crashes = self.crashes.borrow_mut();
+        crashes.note_stored(&key);
+        // A late append has restored a report that was removed.
+        let is_late = crashes.was_removed(&key);
+        drop(crashes);
+        if is_late && maintains {
+            self.append(vec![SuspectRecord::Removed(key)]);
         }
     }
 
-    /// Takes one piece of news over; whether it was new.
-    fn take(&self, news: &SuspectRecord, source: &str, now: Duration) -> bool {
-        let mut book = self.book.borrow_mut();
-        let evidence = match news {
-            SuspectRecord::Removed(key) => return book.drop_end(key),
-            SuspectRecord::Crashed(evidence) => evidence,
+    /// Merges one record; returns whether it was new.
+    fn merge(&self, record: &SuspectRecord, source: &str, now: Duration) -> bool {
+        let mut crashes = self.crashes.borrow_mut();
+        let report = match record {
+            SuspectRecord::Removed(key) => return crashes.remove_report(key),
+            SuspectRecord::Crashed(report) => report,
         };
-        if !book.take(evidence.clone(), now) {
+        if !crashes.merge(report.clone(), now) {
             return false;
         }
         event!(
             EventCode::SuspectLearned,
             "print={} server={} known_rounds={} reporter={} source={source} age_ms={}",
-            evidence.fingerprint,
-            evidence.server,
-            evidence.known,
-            evidence.reporter,
-            UnixMillis::now().since(evidence.seen).as_millis()
+            report.fingerprint,
+            report.server,
+            report.known_rounds,
+            report.reporter,
+            UnixMillis::now().since(report.seen).as_millis()
         );
         true
     }
 
-    /// Lets time pass: forgets what is old, and appends what whoever saw it did
-    /// not, if this instance `keeps` the topic.
-    pub fn tick(&self, keeps: bool, now: Duration) {
-        let expired = self.book.borrow_mut().expire(UnixMillis::now());
-        gauge!(SUSPECTS).set(self.book.borrow().len() as f64);
+    /// Removes expired reports. If this instance `maintains` the topic, also
+    /// appends reports that their reporters did not append.
+    pub fn tick(&self, maintains: bool, now: Duration) {
+        let expired = self.crashes.borrow_mut().expire(UnixMillis::now());
+        gauge!(SUSPECTS).set(self.crashes.borrow().len() as f64);
         if !expired.is_empty() {
             event!(EventCode::SuspectsExpired, "ends={}", expired.len());
         }
-        if !keeps {
+        if !maintains {
             return;
         }
-        let mut news: Vec<_> = expired.into_iter().map(SuspectRecord::Removed).collect();
-        let before = now.saturating_sub(STORE_TIME);
-        let missing = self.book.borrow().not_stored(before);
-        news.extend(missing.into_iter().map(SuspectRecord::Crashed));
-        self.store(news);
+        let mut records: Vec<_> = expired.into_iter().map(SuspectRecord::Removed).collect();
+        let before = now.saturating_sub(APPEND_TAKEOVER_DELAY);
+        let missing = self.crashes.borrow().not_stored(before);
+        records.extend(missing.into_iter().map(SuspectRecord::Crashed));
+        self.append(records);
     }
 
-    /// Appends `news` to the topic. A full ring loses them: the tick repeats
-    /// ends that the topic does not hold, and the next answer drops others.
-    fn store(&self, news: Vec<SuspectRecord>) {
-        if news.is_empty() {
+    /// Appends `records` to the topic. If the ring is full they are lost: the tick
+    /// appends missing reports again, and the next response removes others again.
+    fn append(&self, records: Vec<SuspectRecord>) {
+        if records.is_empty() {
             return;
         }
-        let count = news.len();
-        if self.outbox.try_send(news).is_err() {
+        let count = records.len();
+        if self.outbox.try_send(records).is_err() {
             event!(
                 EventCode::SuspectsNotStored,
                 "records={count} cause=ring_full"
@@ -314,36 +312,36 @@
         }
     }
 
-    fn pass_on(&self, news: Vec<SuspectRecord>) {
-        if news.is_empty() {
+    fn enqueue(&self, records: Vec<SuspectRecord>) {
+        if records.is_empty() {
             return;
         }
-        self.waiting.borrow_mut().suspects.extend(news);
-        self.has_news.notify_one();
+        self.queued.borrow_mut().suspects.extend(records);
+        self.has_queued.notify_one();
     }
 
-    /// The next news for the contacts.
-    fn next_news(&self) -> CrashNotice {
-        let mut waiting = self.waiting.borrow_mut();
+    /// Takes the next notice for the contacts from the queue.
+    fn next_notice(&self) -> CrashNotice {
+        let mut queued = self.queued.borrow_mut();
         CrashNotice {
-            servers: take_first(&mut waiting.servers),
-            suspects: take_first(&mut waiting.suspects),
-            draining: take_first(&mut waiting.draining),
+            servers: dequeue(&mut queued.servers),
+            suspects: dequeue(&mut queued.suspects),
+            draining: dequeue(&mut queued.draining),
         }
     }
 }
 
-/// Takes the first news out of `waiting`; surplus ones are lost.
-fn take_first<T>(waiting: &mut Vec<T>) -> Vec<T> {
-    let surplus = waiting.len().saturating_sub(WAITING_LIMIT);
-    waiting.drain(..surplus);
-    let count = waiting.len().min(NEWS_LIMIT);
-    waiting.drain(..count).collect()
+/// Takes the first items out of `queued`; items beyond the limit are dropped.
+fn dequeue<T>(queued: &mut Vec<T>) -> Vec<T> {
+    let surplus = queued.len().saturating_sub(QUEUED_ITEM_LIMIT);
+    queued.drain(..surplus);
+    let count = queued.len().min(NOTICE_ITEM_LIMIT);
+    queued.drain(..count).collect()
 }
 
 impl<D: WireFormat> TrafficState<D> {
-    /// The process `start` of a server leaves, as `source` tells: it gets
-    /// nothing new from here, and the other instances learn it.
+    /// Marks the server process `start` as draining, as reported by `source`: this
+    /// instance sends it no new requests, and the other instances are notified.
     pub fn note_draining(&self, start: &ServerIncarnation, source: &str) {
         if !self.servers.borrow_mut().note_draining(start) {
             return;
@@ -357,12 +355,12 @@
         self.suspects.note_draining(start.clone());
     }
 
-    /// Takes over what another instance tells of servers that ended or leave.
-    pub fn apply_crash_notice(&self, news: &CrashNotice) {
-        for start in &news.draining {
+    /// Applies a notice from another instance about crashed and draining servers.
+    pub fn apply_crash_notice(&self, notice: &CrashNotice) {
+        for start in &notice.draining {
             self.note_draining(start, "instance");
         }
-        let servers = self.suspects.take_news(news, self.now());
+        let servers = self.suspects.merge_notice(notice, self.now());
         if !servers.is_empty() {
             self.crash_detector.note_crash();
         }
@@ -381,65 +379,71 @@
         }
     }
 
-    /// Whether this instance keeps the topic of suspects tidy.
+    /// Whether this instance maintains the topic of suspects.
     pub fn maintains_suspects(&self) -> bool {
-        self.directory.borrow().is_first_for(STORE_SUBJECT)
+        self.directory.borrow().is_first_for(MAINTAINER_SUBJECT)
     }
 }
 
-/// Logs that the request `id` is sent on suspicion, or refused.
+/// Logs that the request `id` is suspected, or refused by quarantine.
 pub fn log_suspect_status(id: &str, fingerprint: &RequestFingerprint, status: &SuspectStatus) {
-    let (code, verdict, case) = match status {
+    let (code, verdict, summary) = match status {
         SuspectStatus::Clear => return,
-        SuspectStatus::Suspect(case) => (EventCode::RequestSuspect, "suspect", case),
-        SuspectStatus::Quarantined(case) => (EventCode::RequestCondemned, "condemned", case),
+        SuspectStatus::Suspect(summary) => (EventCode::RequestSuspect, "suspect", summary),
+        SuspectStatus::Quarantined(summary) => (EventCode::RequestCondemned, "condemned", summary),
     };
     counter!(SUSPECT_REQUESTS, "verdict" => verdict).increment(1);
     let now = UnixMillis::now();
     event!(
         code,
         "request={id} print={fingerprint} servers={} rounds={} newest_server={} reporter={} age_ms={} released_s={}",
-        case.servers,
-        case.rounds,
-        case.newest.server,
-        case.newest.reporter,
-        now.since(case.newest.seen).as_millis(),
-        case.released.map_or(0, |at| at.since(now).as_secs())
+        summary.servers,
+        summary.rounds,
+        summary.newest.server,
+        summary.newest.reporter,
+        now.since(summary.newest.seen).as_millis(),
+        summary
+            .quarantined_until
+            .map_or(0, |at| at.since(now).as_secs())
     );
 }
 
-/// Passes news on over the link for as long as the runtime runs.
+/// Sends notices over the peer link until the runtime stops.
 pub async fn run<D: WireFormat>(state: Rc<TrafficState<D>>) {
     loop {
-        let news = state.suspects.next_news();
-        if news.is_empty() {
-            state.suspects.has_news.notified().await;
+        let notice = state.suspects.next_notice();
+        if notice.is_empty() {
+            state.suspects.has_queued.notified().await;
             continue;
         }
         let contacts = state.directory.borrow().contact_addresses();
         for contact in contacts {
-            tokio::task::spawn_local(tell(Rc::clone(&state), contact, news.clone()));
+            tokio::task::spawn_local(send_notice(Rc::clone(&state), contact, notice.clone()));
         }
-        tokio::time::sleep(NEWS_PAUSE).await;
+        tokio::time::sleep(NOTICE_PAUSE).await;
     }
 }
 
-/// Tells one instance, twice if it does not answer.
-async fn tell<D: WireFormat>(state: Rc<TrafficState<D>>, contact: SocketAddr, news: CrashNotice) {
+/// Sends a notice to one instance, twice if it does not respond.
+async fn send_notice<D: WireFormat>(
+    state: Rc<TrafficState<D>>,
+    contact: SocketAddr,
+    notice: CrashNotice,
+) {
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
-    if peers::send_crashes(&link, contact, &news).await {
+    if peers::send_crashes(&link, contact, &notice).await {
         return;
     }
-    tokio::time::sleep(REPEAT_PAUSE).await;
-    if !peers::send_crashes(&link, contact, &news).await {
+    tokio::time::sleep(RESEND_PAUSE).await;
+    if !peers::send_crashes(&link, contact, &notice).await {
         event!(
             EventCode::SuspectsNotTold,
             "peer={contact} servers={} suspects={} leaving={}",
-            news.servers.len(),
-            news.suspects.len(),
-            news.draining.len()
+            notice.servers.len(),
+            notice.suspects.len(),
+            notice.draining.len()
         );
     }
 }
