--- a/crates/hibiscus-traffic/src/bounded.rs
+++ b/crates/hibiscus-traffic/src/bounded.rs
@@ -1,9 +1,10 @@
-//! Bounds on what a server may send before its answer has begun.
+//! Limits on the bytes that a backend server may send before the head of its
+//! response is complete.
 //!
-//! The HTTP library reads interim answers for as long as bytes are there, in
-//! one turn of its task. On a runtime of one thread nobody else runs meanwhile,
-//! so the stream below it ends a turn of reading after some bytes, and fails
-//! when a head does not come to its end.
+//! The HTTP library reads informational (1xx) responses in one poll for as long
+//! as bytes are available. On a single-threaded runtime no other task runs
+//! meanwhile. [`BoundedStream`], the stream below the library, therefore yields
+//! after a number of bytes and fails when a head exceeds its size limit.
 
 use std::cell::Cell;
 use std::io;
@@ -17,12 +18,14 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Bytes that are read in one turn, a few milliseconds' work.
-const TURN_BYTES: usize = 64 * 1024;
-/// Bytes before the end of an answer's head, interim answers included.
-const HEAD_LIMIT: usize = 64 * 1024;
+/// Bytes that are read before yielding to other tasks, a few milliseconds of
+/// work.
+const YIELD_AFTER_BYTES: usize = 64 * 1024;
+/// Maximum size of a response's head, including informational responses before
+/// it.
+const HEAD_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Counts the bytes of an answer's head. Clones share the count.
+/// Counts the bytes of a response's head. Clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct HeadByteCounter {
     /// Bytes so far; `None` while no head is awaited.
@@ -30,19 +33,21 @@
 }
 
 impl HeadByteCounter {
-    /// A head is awaited from now on.
+    /// Starts counting the head of a response.
     pub fn begin(&self) {
         self.bytes.set(Some(0));
     }
 
-    /// The head has come.
+    /// Stops counting, since the head is complete.
     pub fn end(&self) {
         self.bytes.set(None);
     }
 
-    /// Whether the head is longer than any answer's.
+    /// Whether the head exceeds its size limit.
     fn is_full(&self) -> bool {
-        self.bytes.get().is_some_and(|bytes| bytes >= HEAD_LIMIT)
+        self.bytes
+            .get()
+            .is_some_and(|bytes| bytes >= HEAD_LIMIT_BYTES)
     }
 
     fn add(&self, bytes: usize) {
@@ -51,22 +56,23 @@
     }
 }
 
-/// A connection to a server whose reading is bounded.
+/// A connection to a server that yields to other tasks while reading and limits
+/// the size of heads.
 #[derive(Debug)]
 pub struct BoundedStream {
     stream: TcpStream,
-    head: HeadByteCounter,
-    /// Bytes read in this turn.
-    turn: usize,
+    head_counter: HeadByteCounter,
+    /// Bytes read since the last yield.
+    unyielded_bytes: usize,
 }
 
 impl BoundedStream {
-    /// Bounds `stream`, whose heads `head` counts.
-    pub fn new(stream: TcpStream, head: HeadByteCounter) -> Self {
+    /// Wraps `stream`; `head_counter` counts the bytes of its heads.
+    pub fn new(stream: TcpStream, head_counter: HeadByteCounter) -> Self {
         Self {
             stream,
-            head,
-            turn: 0,
+            head_counter,
+            unyielded_bytes: 0,
         }
     }
 }
@@ -77,24 +83,24 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.head.is_full() {
-            let error = io::Error::other("the head of the answer does not end");
+        if self.head_counter.is_full() {
+            let error = io::Error::other("the head of the response exceeds the size limit");
             return Poll::Ready(Err(error));
         }
-        if self.turn >= TURN_BYTES {
-            self.turn = 0;
+        if self.unyielded_bytes >= YIELD_AFTER_BYTES {
+            self.unyielded_bytes = 0;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if read.is_pending() {
-            self.turn = 0;
+            self.unyielded_bytes = 0;
             return Poll::Pending;
         }
         let bytes = buffer.filled().len() - before;
-        self.turn += bytes;
-        self.head.add(bytes);
+        self.unyielded_bytes += bytes;
+        self.head_counter.add(bytes);
         read
     }
 }
--- a/crates/hibiscus-traffic/src/callers.rs
+++ b/crates/hibiscus-traffic/src/callers.rs
@@ -1,11 +1,12 @@
-//! Callers' connections and what they may take of the machine.
+//! Limits on callers' connections and on the memory of their request bodies.
 //!
-//! A connection is *busy* from the head of a request until the answer has
-//! passed, *starting* while a head arrives, and *idle* else. When as many are
-//! open as the machine bears, the one that has been idle for longest makes
-//! room; a head that takes too long ends its connection. After a request that
-//! was refused before its body was read, the next bytes are that body's. Bodies
-//! are kept until their request is answered, so their bytes are counted too.
+//! A connection is *busy* from the head of a request until its response has been
+//! sent, *starting* while a head arrives, and *idle* otherwise. When the maximum
+//! number of connections is open, the one that has been idle longest is closed
+//! to make room for a new one. A connection whose head takes too long to arrive
+//! is closed. If a request was refused before its body was read, the next bytes
+//! on the connection belong to that body. Bodies are kept in memory until their
+//! request is answered, so their bytes are limited too.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -26,57 +27,60 @@
 
 use crate::tally::CloseReason;
 
-/// Time for the last bytes on a connection that was told to end and has no
+/// Timeout for writing the last bytes on a connection that is closing and has no
 /// request.
-const LAST_WRITE: Duration = Duration::from_millis(200);
+const LAST_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What callers may take of the machine.
+/// Limits for all callers of this instance together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Bytes of bodies whose requests are not answered.
+    /// Maximum bytes of request bodies in memory.
     pub body_bytes: usize,
 }
 
-/// What a connection does.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallerPhase {
     Idle,
+    /// The head of a request is arriving.
     Starting,
+    /// A request is in progress.
     Busy,
 }
 
-/// One connection as its registry sees it.
+/// State of one connection in the registry.
 #[derive(Debug)]
 struct CallerSlot {
     phase: Cell<CallerPhase>,
+    /// When the connection entered its phase.
     since: Cell<Instant>,
-    /// Requests whose answers have not passed.
+    /// Requests whose responses have not been sent.
     requests: Cell<usize>,
-    /// Whether a request has begun on it.
+    /// Whether a request has begun on the connection.
     begun: Cell<bool>,
-    /// Whether the next bytes are the rest of a request that was refused.
-    rest: Cell<bool>,
-    /// Ends the connection.
-    end: Notify,
-    /// Why this instance ends it, if it does.
-    closing: Cell<Option<CloseReason>>,
+    /// Whether the next bytes belong to the body of a refused request.
+    unread_body: Cell<bool>,
+    /// Notified when the connection is to be closed.
+    close: Notify,
+    /// Why this instance closes the connection, if it does.
+    close_reason: Cell<Option<CloseReason>>,
 }
 
 impl CallerSlot {
-    fn enter(&self, phase: CallerPhase) {
+    fn enter_phase(&self, phase: CallerPhase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
     }
 
-    fn end(&self, reason: CloseReason) {
-        self.closing.set(Some(reason));
-        self.end.notify_one();
+    fn close(&self, reason: CloseReason) {
+        self.close_reason.set(Some(reason));
+        self.close.notify_one();
     }
 }
 
-/// All connections of callers.
+/// All open connections of callers.
 #[derive(Debug)]
 pub struct CallerRegistry {
     bounds: CallerBounds,
@@ -86,7 +90,7 @@
 }
 
 impl CallerRegistry {
-    /// A registry that keeps to `bounds`.
+    /// Creates a registry that enforces `bounds`.
     pub fn new(bounds: CallerBounds) -> Rc<Self> {
         Rc::new(Self {
             bounds,
@@ -96,12 +100,12 @@
         })
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn len(&self) -> usize {
         self.slots.borrow().len()
     }
 
-    /// Bytes of bodies whose requests are not answered.
+    /// Bytes of request bodies in memory.
     pub fn body_bytes(&self) -> usize {
         self.body_bytes.get()
     }
@@ -111,12 +115,11 @@
         self.len() == 0
     }
 
-    /// Counts a new connection. When there are as many as allowed, the one
-    /// that has been idle for longest is told to end; `None` when none is
-    /// idle.
+    /// Registers a new connection. If the maximum number is open, closes the
+    /// connection that has been idle longest; returns `None` if none is idle.
     pub fn open(self: &Rc<Self>) -> Option<CallerConnection> {
         if self.len() >= self.bounds.connections {
-            self.end_longest_idle()?;
+            self.close_longest_idle()?;
         }
         let number = self.next.get();
         self.next.set(number + 1);
@@ -125,9 +128,9 @@
             since: Cell::new(Instant::now()),
             requests: Cell::new(0),
             begun: Cell::new(false),
-            rest: Cell::new(false),
-            end: Notify::new(),
-            closing: Cell::new(None),
+            unread_body: Cell::new(false),
+            close: Notify::new(),
+            close_reason: Cell::new(None),
         });
         self.slots.borrow_mut().insert(number, Rc::clone(&slot));
         Some(CallerConnection {
@@ -137,21 +140,21 @@
         })
     }
 
-    /// Ends connections whose head has been arriving for longer than `limit`;
-    /// returns how many.
+    /// Closes connections whose head has been arriving for longer than `limit` and
+    /// returns their number.
     pub fn close_slow_heads(&self, limit: Duration) -> usize {
-        let mut ended = 0;
+        let mut closed = 0;
         for slot in self.slots.borrow().values() {
             let starting = slot.phase.get() == CallerPhase::Starting;
             if starting && slot.since.get().elapsed() > limit {
-                slot.end(CloseReason::SlowHead);
-                ended += 1;
+                slot.close(CloseReason::SlowHead);
+                closed += 1;
             }
         }
-        ended
+        closed
     }
 
-    /// Counts the bytes of a body, which begins empty.
+    /// Starts counting the bytes of a body.
     pub fn begin_body(&self) -> BodyBytes {
         BodyBytes {
             total: Rc::clone(&self.body_bytes),
@@ -160,20 +163,21 @@
         }
     }
 
-    /// Forgets the connection at once, so that the next one has room.
-    fn end_longest_idle(&self) -> Option<()> {
+    /// Closes the connection that has been idle longest. It is removed from the
+    /// registry at once, so that a new one can take its place.
+    fn close_longest_idle(&self) -> Option<()> {
         let mut slots = self.slots.borrow_mut();
         let idle = slots
             .iter()
             .filter(|(_number, slot)| slot.phase.get() == CallerPhase::Idle);
         let longest = idle.min_by_key(|(_number, slot)| slot.since.get());
         let number = longest.map(|(number, _slot)| *number)?;
-        slots.remove(&number)?.end(CloseReason::Room);
+        slots.remove(&number)?.close(CloseReason::Room);
         Some(())
     }
 }
 
-/// One counted connection.
+/// A registered connection. Dropping it removes it from the registry.
 #[derive(Debug)]
 pub struct CallerConnection {
     registry: Rc<CallerRegistry>,
@@ -182,53 +186,54 @@
 }
 
 impl CallerConnection {
-    /// Waits until the connection is to end.
-    pub async fn ended(&self) {
-        self.slot.end.notified().await;
+    /// Waits until the registry closes the connection.
+    pub async fn close_requested(&self) {
+        self.slot.close.notified().await;
     }
 
-    /// Waits until `connection`, which was told to end, has ended; false when
-    /// its last bytes took too long. Its head may have become whole in the same
-    /// moment, and the request then has the time that it would have had.
+    /// Waits until `connection`, which is closing, has ended. Returns false if its
+    /// last bytes took too long. If the head of a request became complete at the
+    /// same moment, that request keeps its usual time.
     pub async fn finish<F: Future>(&self, connection: F) -> bool {
         let mut connection = pin!(connection);
         loop {
-            // A request that ends within the time still has its last bytes to write.
+            // A request that ends during this timeout still has its last bytes to
+            // write, so the connection gets the timeout once more.
             let is_idle = self.slot.requests.get() == 0;
-            let ended = tokio::time::timeout(LAST_WRITE, connection.as_mut()).await;
+            let ended = tokio::time::timeout(LAST_WRITE_TIMEOUT, connection.as_mut()).await;
             if ended.is_ok() || is_idle && self.slot.requests.get() == 0 {
                 return ended.is_ok();
             }
         }
     }
 
-    /// Why this instance ends the connection, if it does.
-    pub fn closing(&self) -> Option<CloseReason> {
-        self.slot.closing.get()
+    /// Why this instance closes the connection, if it does.
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        self.slot.close_reason.get()
     }
 
-    /// Notes that this instance ends the connection because of a planned stop.
-    pub fn note_stopping(&self) {
-        self.slot.closing.set(Some(CloseReason::Stopping));
+    /// Records that a graceful shutdown of this instance closes the connection.
+    pub fn note_shutdown(&self) {
+        self.slot.close_reason.set(Some(CloseReason::Stopping));
     }
 
-    /// Whether a request has begun on it.
+    /// Whether a request has begun on the connection.
     pub fn has_begun(&self) -> bool {
         self.slot.begun.get()
     }
 
-    /// Counts a request until the returned value is dropped.
+    /// Counts a request as in progress until the returned value is dropped.
     pub fn begin_request(&self) -> CallerRequest {
         self.slot.requests.set(self.slot.requests.get() + 1);
         self.slot.begun.set(true);
-        self.slot.rest.set(true);
-        self.slot.enter(CallerPhase::Busy);
+        self.slot.unread_body.set(true);
+        self.slot.enter_phase(CallerPhase::Busy);
         CallerRequest {
             slot: Rc::clone(&self.slot),
         }
     }
 
-    /// `stream`, whose bytes show when a head begins.
+    /// Wraps `stream` to detect when the head of a request begins.
     pub fn watch(&self, stream: TcpStream) -> WatchedStream {
         WatchedStream {
             stream,
@@ -250,14 +255,14 @@
 }
 
 impl CallerRequest {
-    /// The request's body was read to its end.
+    /// Records that the request's body was read to its end.
     pub fn note_body_read(&self) {
-        self.slot.rest.set(false);
+        self.slot.unread_body.set(false);
     }
 
-    /// Why this instance ends the request's connection, if it does.
-    pub fn closing(&self) -> Option<CloseReason> {
-        self.slot.closing.get()
+    /// Why this instance closes the request's connection, if it does.
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        self.slot.close_reason.get()
     }
 }
 
@@ -266,12 +271,12 @@
         let requests = self.slot.requests.get() - 1;
         self.slot.requests.set(requests);
         if requests == 0 {
-            self.slot.enter(CallerPhase::Idle);
+            self.slot.enter_phase(CallerPhase::Idle);
         }
     }
 }
 
-/// Bytes of one body.
+/// Counts the bytes of one request body in memory until it is dropped.
 #[derive(Debug)]
 pub struct BodyBytes {
     total: Rc<Cell<usize>>,
@@ -280,8 +285,8 @@
 }
 
 impl BodyBytes {
-    /// Counts `bytes` more; false, and nothing counted, when all bodies
-    /// together would exceed their bound.
+    /// Adds `bytes` to the count. Returns false and adds nothing if all bodies
+    /// together would exceed their limit.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let total = self.total.get() + bytes;
         if total > self.bound {
@@ -299,7 +304,7 @@
     }
 }
 
-/// A caller's connection whose bytes are noted.
+/// A caller's connection that detects when the head of a request begins.
 #[derive(Debug)]
 pub struct WatchedStream {
     stream: TcpStream,
@@ -316,9 +321,10 @@
         let polled = Pin::new(&mut self.stream).poll_read(cx, buffer);
         let is_idle = self.slot.phase.get() == CallerPhase::Idle;
         let has_read = buffer.filled().len() > before;
-        // The HTTP library reads once for the rest of a body, or closes.
-        if is_idle && has_read && !self.slot.rest.take() {
-            self.slot.enter(CallerPhase::Starting);
+        // After a refused request, the HTTP library reads the rest of the body once
+        // or closes the connection.
+        if is_idle && has_read && !self.slot.unread_body.take() {
+            self.slot.enter_phase(CallerPhase::Starting);
         }
         polled
     }
--- a/crates/hibiscus-traffic/src/connect.rs
+++ b/crates/hibiscus-traffic/src/connect.rs
@@ -18,50 +18,52 @@
 use crate::bounded::HeadByteCounter;
 use crate::idle::IdleConnection;
 
-/// Time for a new connection: links take a few milliseconds and a server 1 ms.
+/// Timeout for opening a connection. The network takes a few milliseconds and a
+/// server 1 ms.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which sent bytes may stay unacknowledged; a path that is cut off
-/// shows in no other way.
-const ACKNOWLEDGE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time for which a connection is kept idle when its server named none.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// Part of a server's own idle time that is used, since its clock started
-/// earlier.
-const IDLE_PART: f64 = 0.7;
+/// Timeout for the acknowledgement of sent bytes. A broken network path is not
+/// detected in any other way.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a connection is kept idle when its server states no idle timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Fraction of the server's idle timeout after which a connection is dropped,
+/// since the server's timer started earlier.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
 /// Result of opening a connection.
 pub type Result<T> = std::result::Result<T, ConnectFault>;
 
-/// Why there is no connection.
+/// Why opening a connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFault {
     /// Nothing listens at the address.
     Closed,
-    /// The server reset it.
+    /// The connection was reset or failed in another way.
     Refused,
-    /// The server did not answer in time.
+    /// The server did not respond in time.
     Silent,
 }
 
-/// What a new connection shows of the server at an address.
+/// State of a port, found by connecting to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PortState {
-    /// Something listens there.
+    /// A process listens at the address.
     Open,
-    /// Nothing listens there, and the machine says so.
+    /// No process listens at the address, and the machine refuses the connection.
     Closed,
-    /// The machine does not answer.
+    /// The machine does not respond.
     Silent,
 }
 
-/// Looks whether something listens at `address`.
+/// Checks whether a process listens at `address`.
 pub async fn probe_port(address: SocketAddr) -> PortState {
     let connect = TcpStream::connect(address);
     match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
         Ok(Ok(_stream)) => PortState::Open,
         Ok(Err(error)) => match error.kind() {
             ErrorKind::ConnectionRefused => PortState::Closed,
-            // A full server resets connections that it has accepted.
+            // A server at its connection limit resets connections that it has
+            // accepted.
             ErrorKind::ConnectionReset => PortState::Open,
             _ => PortState::Silent,
         },
@@ -69,14 +71,15 @@
     }
 }
 
-/// One connection. Dropping it closes the socket at once, which tells the
-/// server to stop.
+/// A connection to a server. Dropping it closes the socket at once, which makes
+/// the server abort the request.
 #[derive(Debug)]
 pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
-    head: HeadByteCounter,
+    head_counter: HeadByteCounter,
     task: JoinHandle<()>,
-    idle_limit: Duration,
+    idle_timeout: Duration,
+    /// When the connection became idle.
     parked: Option<Instant>,
 }
 
@@ -85,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the server refuses or stays silent.
+    /// Fails when the server refuses the connection or does not respond.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         let connect = TcpStream::connect(address);
         let stream = match tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
@@ -96,40 +99,40 @@
             Ok(Err(_reset)) => return Err(ConnectFault::Refused),
             Err(_elapsed) => return Err(ConnectFault::Silent),
         };
-        set_options(&stream);
-        let head = HeadByteCounter::default();
-        let stream = BoundedStream::new(stream, head.clone());
-        let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|_closed| ConnectFault::Refused)?;
+        set_socket_options(&stream);
+        let head_counter = HeadByteCounter::default();
+        let stream = BoundedStream::new(stream, head_counter.clone());
+        let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|_closed| ConnectFault::Refused)?;
         let task = tokio::task::spawn_local(async move {
-            // A failure shows at the request that used the connection.
+            // A failure is reported to the request that used the connection.
             let _ended = connection.await;
         });
         Ok(Self {
             sender,
-            head,
+            head_counter,
             task,
-            idle_limit: IDLE_LIMIT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
             parked: None,
         })
     }
 
-    /// The half that sends requests.
+    /// Sender of requests on the connection.
     pub fn sender(&mut self) -> &mut SendRequest<Full<Bytes>> {
         &mut self.sender
     }
 
-    /// Counts the bytes of the next answer's head.
-    pub fn head(&self) -> &HeadByteCounter {
-        &self.head
+    /// Counter of the bytes of the next response's head.
+    pub fn head_counter(&self) -> &HeadByteCounter {
+        &self.head_counter
     }
 
-    /// Takes over how long the server keeps the connection idle.
-    pub fn set_idle_limit(&mut self, limit: Duration) {
-        self.idle_limit = limit.mul_f64(IDLE_PART);
+    /// Sets how long the server keeps the connection open while it is idle.
+    pub fn set_idle_timeout(&mut self, timeout: Duration) {
+        self.idle_timeout = timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
     }
 
-    /// Notes that the connection is idle from now on.
+    /// Records that the connection is idle from now on.
     pub fn park(&mut self) {
         self.parked = Some(Instant::now());
     }
@@ -137,8 +140,8 @@
 
 impl IdleConnection for ServerConnection {
     fn is_usable(&self) -> bool {
-        let rested = self.parked.map_or(Duration::ZERO, |since| since.elapsed());
-        !self.sender.is_closed() && rested < self.idle_limit
+        let idle_time = self.parked.map_or(Duration::ZERO, |since| since.elapsed());
+        !self.sender.is_closed() && idle_time < self.idle_timeout
     }
 }
 
@@ -148,9 +151,9 @@
     }
 }
 
-/// Sets the options of a connection to a server or a caller.
-pub fn set_options(stream: &TcpStream) {
-    // Both only tune the connection: without them it still works.
+/// Sets the socket options of a connection to a server or a caller.
+pub fn set_socket_options(stream: &TcpStream) {
+    // Failures are ignored: the connection works without these options.
     let _tuned = stream.set_nodelay(true);
-    let _tuned = SockRef::from(stream).set_tcp_user_timeout(Some(ACKNOWLEDGE_LIMIT));
+    let _tuned = SockRef::from(stream).set_tcp_user_timeout(Some(ACKNOWLEDGE_TIMEOUT));
 }
--- a/crates/hibiscus-traffic/src/directory.rs
+++ b/crates/hibiscus-traffic/src/directory.rs
@@ -1,4 +1,5 @@
-//! Which instances callers are told to use.
+//! Directory of the fleet's instances: which ones respond, and which addresses
+//! callers are given.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,108 +22,115 @@
 
 use crate::model::InstanceEntry;
 
-/// Addresses in one answer; callers use no more.
+/// Maximum number of addresses in one list; callers use no more.
 const ADDRESS_LIMIT: usize = 64;
 
-/// Addresses in one answer at the least, if so many instances serve: a caller
-/// that keeps the answer still finds one after several have died.
-const ADDRESS_LEAST: usize = 12;
+/// Minimum number of addresses in one list, if that many instances serve. A
+/// caller that keeps the list still finds an instance after several have failed.
+const MIN_ADDRESSES: usize = 12;
 
-/// Replaced processes of an instance that are remembered: a late copy of an
-/// announcement comes within seconds.
-const REPLACED_KEPT: usize = 8;
+/// Number of replaced processes that are remembered for each instance. A late
+/// copy of an announcement arrives within seconds.
+const REPLACED_PROCESS_LIMIT: usize = 8;
 
-/// Time after which an instance that does not answer is taken for gone: cuts
-/// between instances last seconds, and replaced ones must not count for ever.
-const FORGOTTEN_TIME: Duration = Duration::from_secs(600);
+/// How long an unresponsive instance still counts as possibly live. Network
+/// partitions between instances last seconds, and instances that were replaced
+/// must not count forever.
+const UNRESPONSIVE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Subjects whose first instance is remembered: more than there are budgets.
-const FIRST_KEPT: usize = 4_096;
+/// Maximum number of subjects in the cache of ranks; more than there are budgets.
+const RANK_CACHE_LIMIT: usize = 4_096;
 
-/// One instance and whether it answers.
+/// Another instance, and whether it responds.
 #[derive(Clone, Debug)]
 struct KnownInstance {
     entry: InstanceEntry,
-    /// Since when it is held not to answer.
-    silent_since: Option<Instant>,
-    /// Processes that the present one replaced, oldest first.
+    /// Since when the instance has been unresponsive; `None` if it responds.
+    unresponsive_since: Option<Instant>,
+    /// Earlier processes of the instance, oldest first.
     replaced: VecDeque<IncarnationId>,
 }
 
-/// The instances of the fleet as this one sees them.
+/// The instances of the fleet, from the view of this instance.
 #[derive(Clone, Debug)]
 pub struct InstanceDirectory {
     own: InstanceEntry,
     ready: bool,
     others: BTreeMap<InstanceName, KnownInstance>,
-    board: SilenceBoard,
-    begun: Instant,
-    /// Others that are held to answer.
-    answering: u32,
-    /// Others that are not forgotten.
-    remembered: u32,
-    /// Pins of processes that were replaced since they were last asked for.
+    failure_detector: SilenceBoard,
+    created: Instant,
+    /// Number of other instances that respond.
+    responding: u32,
+    /// Number of other instances that respond or have been unresponsive for less
+    /// than [`UNRESPONSIVE_RETENTION`].
+    possibly_live: u32,
+    /// Certificate pins of the processes that were replaced since the last call of
+    /// [`Self::take_replaced_pins`].
     replaced_pins: Vec<CertificatePin>,
-    /// For which subjects this instance is the first, until the instances
-    /// that answer change.
-    firsts: RefCell<HashMap<String, bool>>,
-    /// Grows when the instances that answer change, or what they announced.
+    /// Cached results of [`Self::is_first_for`] by subject. Cleared when the set of
+    /// responding instances changes.
+    first_for: RefCell<HashMap<String, bool>>,
+    /// Increases when the set of responding instances or an announcement changes.
     generation: u64,
 }
 
 impl InstanceDirectory {
-    /// A directory that knows only its own instance.
+    /// Creates a directory that contains only this instance.
     pub fn new(own: InstanceEntry) -> Self {
         Self {
-            board: SilenceBoard::new(own.name.clone(), own.incarnation),
+            failure_detector: SilenceBoard::new(own.name.clone(), own.incarnation),
             own,
             ready: false,
             others: BTreeMap::new(),
-            begun: Instant::now(),
-            answering: 0,
-            remembered: 0,
+            created: Instant::now(),
+            responding: 0,
+            possibly_live: 0,
             replaced_pins: Vec::new(),
-            firsts: RefCell::default(),
+            first_for: RefCell::default(),
             generation: 1,
         }
     }
 
-    /// Grows when the instances that answer change, or what they announced.
+    /// Number that increases when the set of responding instances or an announcement
+    /// changes.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The newest process known of the instance `name`.
+    /// The newest known process of the other instance `name`.
     pub fn find(&self, name: &InstanceName) -> Option<&InstanceEntry> {
         self.others.get(name).map(|known| &known.entry)
     }
 
-    /// Whether `entry` is the newest process known of its instance.
+    /// Whether `entry` is the newest known process of its instance.
     pub fn is_current(&self, entry: &InstanceEntry) -> bool {
         let known = self.others.get(&entry.name);
         known.is_some_and(|known| known.entry.incarnation == entry.incarnation)
     }
 
-    /// Takes an announcement over; true when it names a process that was not
-    /// known. A process that was replaced changes nothing: announcements come
-    /// in the order of their topic, and the time of day that incarnations show
-    /// may have been set back.
+    /// Applies an announcement. Returns true if it names a process that was not
+    /// known before.
+    ///
+    /// An announcement of a replaced process is ignored. Announcements arrive in
+    /// the order of their topic, which decides which process is newer. The time
+    /// of day in incarnation ids cannot, since it may have been set back.
     pub fn announce(&mut self, entry: InstanceEntry) -> bool {
         if entry.name == self.own.name {
             return false;
         }
-        let now = self.begun.elapsed();
+        let now = self.created.elapsed();
         let (name, incarnation) = (entry.name.clone(), entry.incarnation);
         let leaving = entry.leaving;
         let Some(known) = self.others.get_mut(&name) else {
             let known = KnownInstance {
                 entry,
-                silent_since: None,
+                unresponsive_since: None,
                 replaced: VecDeque::new(),
             };
             self.others.insert(name.clone(), known);
-            self.board.announce(&name, incarnation, leaving, now);
-            self.recount();
+            self.failure_detector
+                .announce(&name, incarnation, leaving, now);
+            self.update_counts();
             return true;
         };
         if known.replaced.contains(&incarnation) {
@@ -131,10 +139,10 @@
         let replaced = known.entry.incarnation != incarnation;
         if replaced {
             known.replaced.push_back(known.entry.incarnation);
-            while known.replaced.len() > REPLACED_KEPT {
+            while known.replaced.len() > REPLACED_PROCESS_LIMIT {
                 known.replaced.pop_front();
             }
-            known.silent_since = None;
+            known.unresponsive_since = None;
             if known.entry.pin != entry.pin {
                 self.replaced_pins.push(known.entry.pin);
             }
@@ -143,267 +151,278 @@
             self.generation += 1;
         }
         known.entry = entry;
-        self.board.announce(&name, incarnation, leaving, now);
-        self.recount();
+        self.failure_detector
+            .announce(&name, incarnation, leaving, now);
+        self.update_counts();
         replaced
     }
 
-    /// Pins of the processes that were replaced since the last call.
+    /// Certificate pins of the processes that were replaced since the last call.
     pub fn take_replaced_pins(&mut self) -> Vec<CertificatePin> {
         std::mem::take(&mut self.replaced_pins)
     }
 
-    /// Notes whether the process that announced `entry` answers.
+    /// Records whether the process that announced `entry` responds.
     pub fn note_reachable(&mut self, entry: &InstanceEntry, reachable: bool) {
-        let now = self.begun.elapsed();
-        self.board
+        let now = self.created.elapsed();
+        self.failure_detector
             .note(&entry.name, entry.incarnation, reachable, now);
-        self.recount();
+        self.update_counts();
     }
 
-    /// Lets time pass: whom to watch, and who is forgotten.
+    /// Updates what depends on time: which instances to monitor, and which ones
+    /// count as possibly live.
     pub fn tick(&mut self) {
-        self.board.tick(self.begun.elapsed());
-        self.recount();
+        self.failure_detector.tick(self.created.elapsed());
+        self.update_counts();
     }
 
-    /// Takes over what another instance found, and answers it.
+    /// Applies failure suspicions from another instance and returns the response.
     pub fn handle_message(&mut self, message: SilenceMessage) -> SilenceMessage {
-        let answer = self.board.take(message, self.begun.elapsed());
-        self.recount();
-        answer
+        let response = self.failure_detector.take(message, self.created.elapsed());
+        self.update_counts();
+        response
     }
 
-    /// Takes over an answer, to a question for all that is known if `joining`.
-    pub fn handle_response(&mut self, answer: SilenceMessage, joining: bool) {
-        self.board.take_answer(answer, self.begun.elapsed());
+    /// Applies the response of another instance. `joining` tells whether the request
+    /// was for all known suspicions.
+    pub fn handle_response(&mut self, response: SilenceMessage, joining: bool) {
+        self.failure_detector
+            .take_answer(response, self.created.elapsed());
         if joining {
-            self.board.note_joined();
+            self.failure_detector.note_joined();
         }
-        self.recount();
+        self.update_counts();
     }
 
-    /// Whether this instance found something that others must learn.
+    /// Whether this instance has failure suspicions to send to others.
     pub fn has_updates(&self) -> bool {
-        self.board.has_news()
+        self.failure_detector.has_news()
     }
 
-    /// What others must learn.
+    /// The next message of failure suspicions to send to others.
     pub fn next_update(&mut self) -> Option<SilenceMessage> {
-        self.board.next_news()
+        self.failure_detector.next_news()
     }
 
-    /// A message that repairs what others missed.
+    /// The next periodic message, which repeats suspicions that others may have
+    /// missed.
     pub fn next_exchange(&mut self) -> SilenceMessage {
-        self.board.next_exchange()
+        self.failure_detector.next_exchange()
     }
 
-    /// Whether the fleet is so large that this instance watches a few others.
+    /// Whether the fleet is so large that each instance monitors only a few others.
     pub fn is_large(&self) -> bool {
-        self.board.is_large()
+        self.failure_detector.is_large()
     }
 
-    /// The processes that this instance watches.
+    /// The processes that this instance monitors.
     pub fn monitored(&self) -> Vec<&InstanceEntry> {
-        let watched = self.board.watched().iter();
-        let known = watched.filter_map(|name| self.others.get(name));
+        let monitored = self.failure_detector.watched().iter();
+        let known = monitored.filter_map(|name| self.others.get(name));
         known.map(|known| &known.entry).collect()
     }
 
-    /// Whether this instance watches the process that announced `entry`.
+    /// Whether this instance monitors the process that announced `entry`.
     pub fn monitors(&self, entry: &InstanceEntry) -> bool {
-        self.is_current(entry) && self.board.watched().contains(&entry.name)
+        self.is_current(entry) && self.failure_detector.watched().contains(&entry.name)
     }
 
-    /// Where the instances take questions that learn of news from this one.
+    /// Peer addresses of the instances to which this instance sends its failure
+    /// suspicions.
     pub fn contact_addresses(&self) -> Vec<SocketAddr> {
         let known = self
-            .board
+            .failure_detector
             .contacts()
             .filter_map(|name| self.others.get(name));
         known.map(|known| known.entry.peers).collect()
     }
 
-    /// Counts the others anew.
-    fn recount(&mut self) {
+    /// Updates the state of the other instances and their counts.
+    fn update_counts(&mut self) {
         let mut changed = false;
-        let (mut answering, mut remembered) = (0_u32, 0_u32);
+        let (mut responding, mut possibly_live) = (0_u32, 0_u32);
         for (name, known) in &mut self.others {
-            let silent = self.board.is_silent(name);
-            if silent != known.silent_since.is_some() {
+            let unresponsive = self.failure_detector.is_silent(name);
+            if unresponsive != known.unresponsive_since.is_some() {
                 changed = true;
-                // In a small fleet the questions tell it.
-                if self.board.is_large() {
-                    log_belief(name, silent);
+                // In a small fleet, the monitoring requests of this instance log it.
+                if self.failure_detector.is_large() {
+                    log_change(name, unresponsive);
                 }
             }
-            if !silent {
-                known.silent_since = None;
-                answering += 1;
-                remembered += 1;
+            if !unresponsive {
+                known.unresponsive_since = None;
+                responding += 1;
+                possibly_live += 1;
                 continue;
             }
-            let since = known.silent_since.get_or_insert_with(Instant::now);
-            if since.elapsed() < FORGOTTEN_TIME {
-                remembered += 1;
+            let since = known.unresponsive_since.get_or_insert_with(Instant::now);
+            if since.elapsed() < UNRESPONSIVE_RETENTION {
+                possibly_live += 1;
             }
         }
-        // One more that answers since its announcement changes the count.
-        if changed || answering != self.answering {
-            self.firsts.borrow_mut().clear();
+        // An instance that responds from its announcement on changes only the
+        // count.
+        if changed || responding != self.responding {
+            self.first_for.borrow_mut().clear();
             self.generation += 1;
         }
-        self.answering = answering;
-        self.remembered = remembered;
+        self.responding = responding;
+        self.possibly_live = possibly_live;
     }
 
-    /// Notes whether this instance serves.
+    /// Sets whether this instance is ready to serve.
     pub fn set_ready(&mut self, ready: bool) {
         self.ready = ready;
     }
 
-    /// Whether this instance serves.
+    /// Whether this instance is ready to serve.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Instances that may serve, this one included.
+    /// Number of instances that respond, including this one.
     pub fn live_count(&self) -> u32 {
-        self.answering.saturating_add(1)
+        self.responding.saturating_add(1)
     }
 
-    /// Instances that may be serving, this one included: also those that do
-    /// not answer, since they may be cut off from here only.
+    /// Number of instances that may be live, including this one. Unresponsive
+    /// instances count too, since a network partition may separate them only from
+    /// this instance.
     pub fn possibly_live_count(&self) -> u32 {
-        self.remembered.saturating_add(1)
+        self.possibly_live.saturating_add(1)
     }
 
-    /// Whether more than half of the instances that may be serving answer.
+    /// Whether more than half of the possibly live instances respond.
     pub fn reaches_majority(&self) -> bool {
         self.live_count() * 2 > self.possibly_live_count()
     }
 
-    /// Whether this instance is the first of those that answer in the order
-    /// that `subject` gives them. All instances agree on it but for moments, so
-    /// it may only choose who does what may be done twice.
+    /// Whether this instance ranks first among the responding instances for
+    /// `subject` (rendezvous hashing). Instances may briefly disagree, so this may
+    /// only select who does work that may be done twice.
     pub fn is_first_for(&self, subject: &str) -> bool {
-        if let Some(first) = self.firsts.borrow().get(subject) {
+        if let Some(first) = self.first_for.borrow().get(subject) {
             return *first;
         }
         let rank = |entry: &InstanceEntry| {
             stable_hash(&[subject.as_bytes(), entry.name.as_str().as_bytes()])
         };
         let own = rank(&self.own);
-        let mut others = self.held_to_answer();
+        let mut others = self.responding_others();
         let first = others.all(|known| rank(&known.entry) > own);
-        let mut firsts = self.firsts.borrow_mut();
-        if firsts.len() >= FIRST_KEPT {
+        let mut firsts = self.first_for.borrow_mut();
+        if firsts.len() >= RANK_CACHE_LIMIT {
             firsts.clear();
         }
         firsts.insert(subject.to_owned(), first);
         first
     }
 
-    /// The others that are held to answer.
-    fn held_to_answer(&self) -> impl Iterator<Item = &KnownInstance> {
+    /// The other instances that respond.
+    fn responding_others(&self) -> impl Iterator<Item = &KnownInstance> {
         let others = self.others.values();
-        others.filter(|known| known.silent_since.is_none())
+        others.filter(|known| known.unresponsive_since.is_none())
     }
 
-    /// This instance and those that answer and do not leave.
-    pub fn answering(&self) -> impl Iterator<Item = &InstanceEntry> {
-        let others = self.held_to_answer();
+    /// This instance, and the others that respond and are not shutting down.
+    pub fn responding(&self) -> impl Iterator<Item = &InstanceEntry> {
+        let others = self.responding_others();
         let others = others.filter(|known| !known.entry.leaving);
         others.map(|known| &known.entry).chain([&self.own])
     }
 
-    /// This instance.
+    /// The entry of this instance.
     pub fn own(&self) -> &InstanceEntry {
         &self.own
     }
 
-    /// Where the instances that answer take questions.
+    /// Peer addresses of the other instances that respond.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
-        self.held_to_answer()
+        self.responding_others()
             .map(|known| known.entry.peers)
             .collect()
     }
 
-    /// [`Self::addresses_for`] a caller of whom nothing is known.
+    /// Same as [`Self::addresses_for`], for a caller whose address is unknown.
     pub fn addresses(&self, near: Option<&DataCentre>) -> Vec<SocketAddr> {
         self.addresses_for(near, None)
     }
 
-    /// Addresses of instances that serve, those in the data centre `near`
-    /// first, in random order within the two groups. Far ones are named too:
-    /// callers pick one at random, and the near ones alone would get all of
-    /// the load. Never none.
+    /// Addresses of serving instances for callers. Instances in the data centre
+    /// `near` come first; the order within the two groups is random. The list also
+    /// has instances of other data centres: callers pick an address at random, and
+    /// the near instances alone would get all of the load. If no instance is known
+    /// to serve, the list has all instances, so it is never empty.
     ///
-    /// Instances are named the more often the more capacity they have; all of
-    /// them when all have the same. One `caller` is named the same instances
-    /// each time: it gives up connections to those that a new answer misses.
+    /// An instance is listed with a probability in proportion to its capacity, so
+    /// instances of equal capacity are all listed. The same `caller` gets the same
+    /// instances each time, because it closes its connections to instances that a
+    /// new list omits.
     pub fn addresses_for(
         &self,
         near: Option<&DataCentre>,
         caller: Option<IpAddr>,
     ) -> Vec<SocketAddr> {
-        let mut named: Vec<&InstanceEntry> = Vec::new();
+        let mut listed: Vec<&InstanceEntry> = Vec::new();
         if self.ready {
-            named.push(&self.own);
+            listed.push(&self.own);
         }
-        for known in self.held_to_answer() {
+        for known in self.responding_others() {
             if !known.entry.leaving {
-                named.push(&known.entry);
+                listed.push(&known.entry);
             }
         }
-        if named.is_empty() {
-            named.extend(self.others.values().map(|known| &known.entry));
-            named.push(&self.own);
+        if listed.is_empty() {
+            listed.extend(self.others.values().map(|known| &known.entry));
+            listed.push(&self.own);
         }
-        fastrand::shuffle(&mut named);
-        let mut named = match caller.map(|caller| caller.to_string()) {
-            Some(caller) => draw_by_capacity(named, |entry| {
+        fastrand::shuffle(&mut listed);
+        let mut listed = match caller.map(|caller| caller.to_string()) {
+            Some(caller) => sample_by_capacity(listed, |entry| {
                 stable_hash(&[caller.as_bytes(), entry.name.as_str().as_bytes()])
             }),
-            None => draw_by_capacity(named, |_entry| fastrand::u64(..)),
+            None => sample_by_capacity(listed, |_entry| fastrand::u64(..)),
         };
-        named.sort_by_key(|entry| Some(&entry.data_centre) != near);
-        named.truncate(ADDRESS_LIMIT);
-        named.into_iter().map(|entry| entry.callers).collect()
+        listed.sort_by_key(|entry| Some(&entry.data_centre) != near);
+        listed.truncate(ADDRESS_LIMIT);
+        listed.into_iter().map(|entry| entry.callers).collect()
     }
 }
 
-/// Logs that `name` is held not to answer, or to answer again.
-fn log_belief(name: &InstanceName, silent: bool) {
-    if silent {
+/// Logs that `name` has become unresponsive or responds again.
+fn log_change(name: &InstanceName, unresponsive: bool) {
+    if unresponsive {
         event!(EventCode::InstanceSilent, "instance={name}");
     } else {
         event!(EventCode::InstanceHeard, "instance={name}");
     }
 }
 
-/// Those of `entries` whose draw falls below their share of the largest
-/// capacity; the largest are always among them. Up to [`ADDRESS_LEAST`], others
-/// follow in the order of their draws.
-fn draw_by_capacity(
+/// Samples `entries` by capacity. An entry is selected if its number from `draw`,
+/// modulo the largest capacity, is below its own capacity, so the largest entries
+/// are always selected. If fewer than [`MIN_ADDRESSES`] are selected, others are
+/// added in the order of their numbers.
+fn sample_by_capacity(
     entries: Vec<&InstanceEntry>,
     draw: impl Fn(&InstanceEntry) -> u64,
 ) -> Vec<&InstanceEntry> {
     let largest = entries.iter().map(|entry| entry.capacity).max();
     let largest = u64::from(largest.unwrap_or_default()).max(1);
-    let mut named = Vec::with_capacity(entries.len());
-    let mut left_out = Vec::new();
+    let mut listed = Vec::with_capacity(entries.len());
+    let mut omitted = Vec::new();
     for entry in entries {
         let drawn = draw(entry);
         if drawn % largest < u64::from(entry.capacity) {
-            named.push(entry);
+            listed.push(entry);
         } else {
-            left_out.push((drawn, entry));
+            omitted.push((drawn, entry));
         }
     }
-    let missing = ADDRESS_LEAST.saturating_sub(named.len());
-    left_out.sort_by_key(|(drawn, _entry)| *drawn);
-    let others = left_out.into_iter().take(missing);
-    named.extend(others.map(|(_drawn, entry)| entry));
-    named
+    let missing = MIN_ADDRESSES.saturating_sub(listed.len());
+    omitted.sort_by_key(|(drawn, _entry)| *drawn);
+    let others = omitted.into_iter().take(missing);
+    listed.extend(others.map(|(_drawn, entry)| entry));
+    listed
 }
--- a/crates/hibiscus-traffic/src/handler.rs
+++ b/crates/hibiscus-traffic/src/handler.rs
@@ -1,8 +1,9 @@
-//! The life of one request: admitted, reserved, placed, sent, answered.
+//! Handles one request from its arrival to its response.
 //!
-//! `admission` finds route and team and reads the body, `reservation` sets the
-//! tokens aside, `forwarding` sends the request until a server answers. A step
-//! that fails names the [`LocalRefusal`] that the caller is told.
+//! `admission` finds the route and the team and reads the body, `reservation`
+//! reserves tokens of the team's budget, and `forwarding` sends the request to
+//! backend servers until one responds. A step that fails returns the
+//! [`LocalRefusal`] that the caller receives.
 
 mod admission;
 mod forwarding;
@@ -20,7 +21,7 @@
 
 use crate::callers::CallerRequest;
 use crate::handler::admission::AdmittedRequest;
-use crate::handler::forwarding::ForwardedAnswer;
+use crate::handler::forwarding::ForwardedResponse;
 use crate::in_flight::RequestProgress;
 use crate::model::RequestKind;
 use crate::response;
@@ -31,124 +32,124 @@
 use crate::traffic_metrics::RequestOutcome;
 use crate::wire_format::WireFormat;
 
-/// Result of a step; the reason is the answer.
+/// Result of a step; the error becomes the response to the caller.
 type Result<T> = std::result::Result<T, LocalRefusal>;
 
-/// What is known of a request so far, for the log and the metrics.
+/// Data of a request for the log and the metrics.
 #[derive(Debug)]
-struct KnownRequest {
+struct RequestInfo {
     id: String,
     kind: Option<RequestKind>,
     arrived: Instant,
-    /// Whether no part of its body is to come.
+    /// Whether the whole body has been read.
     body_read: bool,
 }
 
-/// A request without an answer so far. Its connection's task is dropped when
-/// the connection ends, and the request with it.
-struct UnansweredRequest<'a> {
-    known: KnownRequest,
+/// A request without a response. It is logged when it is dropped, which
+/// happens along with its connection's task when the connection ends.
+struct PendingRequest<'a> {
+    info: RequestInfo,
     progress: &'a RequestProgress,
-    answered: bool,
+    responded: bool,
 }
 
-impl Drop for UnansweredRequest<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        if self.answered {
+        if self.responded {
             return;
         }
-        if let Some(reason) = self.progress.closing() {
+        if let Some(reason) = self.progress.close_reason() {
             event!(
                 EventCode::RequestCut,
                 "request={} reason={} answer=none",
-                self.known.id,
+                self.info.id,
                 reason.word()
             );
         }
         event!(
             EventCode::RequestDropped,
             "request={} total_ms={}",
-            self.known.id,
-            self.known.arrived.elapsed().as_millis()
+            self.info.id,
+            self.info.arrived.elapsed().as_millis()
         );
     }
 }
 
-/// Serves one request; every way out is an answer.
+/// Handles one request; failures become local responses.
 pub async fn serve<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     request: Request<Incoming>,
     caller: CallerRequest,
 ) -> Response<ResponseBody> {
     let progress = RequestProgress::new(caller, state.count_request());
-    let mut unanswered = UnansweredRequest {
-        known: KnownRequest {
+    let mut pending = PendingRequest {
+        info: RequestInfo {
             id: String::new(),
             kind: None,
             arrived: Instant::now(),
             body_read: request.body().is_end_stream(),
         },
         progress: &progress,
-        answered: false,
+        responded: false,
     };
-    let outcome = work(&state, request, &mut unanswered.known).await;
-    unanswered.answered = true;
-    if unanswered.known.body_read {
+    let outcome = process(&state, request, &mut pending.info).await;
+    pending.responded = true;
+    if pending.info.body_read {
         progress.note_body_read();
     }
-    let outcome = outcome.map_err(|refusal| refuse(&state, refusal, &unanswered.known));
-    drop(unanswered);
+    let outcome = outcome.map_err(|refusal| refuse(&state, refusal, &pending.info));
+    drop(pending);
     match outcome {
         Ok((admitted, forwarded)) => {
-            let measures = Rc::clone(&state.measures);
-            forwarded.into_answer(&admitted, progress, measures)
+            let metrics = Rc::clone(&state.measures);
+            forwarded.into_response(&admitted, progress, metrics)
         }
-        Err(refusal) => refusal,
+        Err(response) => response,
     }
 }
 
 /// Admits the request, reserves its tokens and forwards it.
-async fn work<D: WireFormat>(
+async fn process<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     request: Request<Incoming>,
-    known: &mut KnownRequest,
-) -> Result<(AdmittedRequest, ForwardedAnswer)> {
+    info: &mut RequestInfo,
+) -> Result<(AdmittedRequest, ForwardedResponse)> {
     let (head, body) = request.into_parts();
-    let signs = state.dialect.parse_caller_headers(&head.headers);
-    let signs = signs.map_err(|_fault| LocalReason::BadRequest)?;
-    known.id.clone_from(&signs.id);
+    let headers = state.dialect.parse_caller_headers(&head.headers);
+    let headers = headers.map_err(|_fault| LocalReason::BadRequest)?;
+    info.id.clone_from(&headers.id);
     if state.is_closing() {
-        return Err(LocalReason::Stopping.into());
+        return Err(LocalReason::ShuttingDown.into());
     }
     if !state.has_room() {
         return Err(LocalReason::Overloaded.into());
     }
-    let admitted = admission::admit(state, signs, head, body, known).await?;
-    forwarding::check_standing(state, &admitted)?;
+    let admitted = admission::admit(state, headers, head, body, info).await?;
+    forwarding::check_quarantine(state, &admitted)?;
     let charge = reservation::reserve(state, &admitted).await;
     let charge = charge.inspect_err(|_reason| reservation::log_shortage(state, &admitted))?;
     let forwarded = forwarding::forward(state, &admitted, charge).await?;
     Ok((admitted, forwarded))
 }
 
-/// Logs, counts and makes an answer of this instance.
+/// Logs and counts a refusal and creates its response.
 fn refuse<D: WireFormat>(
     state: &TrafficState<D>,
     refusal: LocalRefusal,
-    known: &KnownRequest,
+    info: &RequestInfo,
 ) -> Response<ResponseBody> {
     let reason = refusal.reason;
-    let taken = known.arrived.elapsed();
+    let elapsed = info.arrived.elapsed();
     event!(
         EventCode::OwnAnswer,
         "request={} reason={} total_ms={}",
-        known.id,
-        reason.word(),
-        taken.as_millis()
+        info.id,
+        reason.as_str(),
+        elapsed.as_millis()
     );
     state.measures.count_local_response(reason);
     state
         .measures
-        .record_request_end(known.kind, RequestOutcome::Own, taken);
-    response::local_response(&state.dialect, refusal, &known.id)
+        .record_request_end(info.kind, RequestOutcome::LocalResponse, elapsed);
+    response::local_response(&state.dialect, refusal, &info.id)
 }
--- a/crates/hibiscus-traffic/src/handler/admission.rs
+++ b/crates/hibiscus-traffic/src/handler/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent at all, and where to.
+//! Decides whether a request may be sent, and to which service.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use crate::callers::BodyBytes;
 use crate::endings::RequestIdentity;
-use crate::handler::KnownRequest;
+use crate::handler::RequestInfo;
 use crate::handler::Result;
 use crate::model::RouteRule;
 use crate::model::TeamRule;
@@ -28,34 +28,35 @@
 use crate::wire_format::CallerHeaders;
 use crate::wire_format::WireFormat;
 
-/// A request that may be sent.
+/// A request that may be sent to a backend server.
 #[derive(Debug)]
 pub(super) struct AdmittedRequest {
-    pub(super) signs: CallerHeaders,
+    pub(super) caller_headers: CallerHeaders,
     pub(super) table: Rc<RouteTable>,
     pub(super) route: Arc<RouteRule>,
     pub(super) team: Option<Arc<TeamRule>>,
     pub(super) service: ServiceName,
     pub(super) method: Method,
+    /// Header fields to forward.
     pub(super) headers: HeaderMap,
-    /// Path, caller and body.
+    /// Team, target URI and body.
     pub(super) identity: Rc<RequestIdentity>,
-    /// When it arrived.
     pub(super) arrived: Instant,
-    /// When its caller or route has waited long enough.
-    pub(super) until: Instant,
+    /// Arrival plus the shorter of the caller's deadline and the route's
+    /// timeout.
+    pub(super) deadline: Instant,
 }
 
-/// Finds route and team and reads the body.
+/// Finds the route and the team of a request and reads its body.
 pub(super) async fn admit<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
-    signs: CallerHeaders,
+    caller_headers: CallerHeaders,
     head: http::request::Parts,
     body: Incoming,
-    known: &mut KnownRequest,
+    info: &mut RequestInfo,
 ) -> Result<AdmittedRequest> {
-    let arrived = known.arrived;
-    if let Some(end) = start::wait_end(arrived, signs.deadline, state.now()) {
+    let arrived = info.arrived;
+    if let Some(end) = start::wait_end(arrived, caller_headers.deadline, state.now()) {
         state.wait_known(end).await;
     }
     let table = state.table().ok_or(LocalReason::NoConfig)?;
@@ -63,8 +64,11 @@
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
     let route = table.route(host, head.uri.path());
     let route = Arc::clone(route.ok_or(LocalReason::UnknownRoute)?);
-    known.kind = Some(route.kind);
-    let team = signs.key.as_deref().and_then(|key| table.team(key));
+    info.kind = Some(route.kind);
+    let team = caller_headers
+        .key
+        .as_deref()
+        .and_then(|key| table.team(key));
     let team = team.map(Arc::clone);
     if table.config().needs_key && !route.anonymous && team.is_none() {
         return Err(LocalReason::UnknownKey.into());
@@ -72,20 +76,23 @@
     let pick = fastrand::u32(..);
     let service = table::pick_service(&route, pick).ok_or(LocalReason::NoServer)?;
     let service = service.clone();
-    let wait = signs.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let until = arrived + wait;
+    let wait = caller_headers
+        .deadline
+        .unwrap_or(route.timeout)
+        .min(route.timeout);
+    let deadline = arrived + wait;
     let limit = table.config().limits.body_bytes;
     let reading = read_body(body, limit, state.callers.begin_body());
-    let read = tokio::time::timeout_at(until.into(), reading).await;
-    let body = read.map_err(|_elapsed| LocalReason::TimeSpent)??;
-    known.body_read = true;
+    let read = tokio::time::timeout_at(deadline.into(), reading).await;
+    let body = read.map_err(|_elapsed| LocalReason::ExpiredBeforeSend)??;
+    info.body_read = true;
     let mut headers = head.headers;
     send::strip_connection_headers(&mut headers);
     state.dialect.strip_internal_headers(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let caller = team.as_ref().map(|team| team.name.clone());
     Ok(AdmittedRequest {
-        signs,
+        caller_headers,
         table,
         route,
         team,
@@ -94,32 +101,32 @@
         headers,
         identity: Rc::new(RequestIdentity::new(caller, head.uri, body)),
         arrived,
-        until,
+        deadline,
     })
 }
 
-/// Reads a body of at most `limit` bytes, which `held` counts.
+/// Reads a body of at most `limit` bytes and counts them in `counter`.
 async fn read_body(
     mut body: Incoming,
     limit: usize,
-    mut held: BodyBytes,
+    mut counter: BodyBytes,
 ) -> Result<(Bytes, BodyBytes)> {
     if hyper::body::Body::size_hint(&body).lower() > limit as u64 {
         return Err(LocalReason::BodyTooLong.into());
     }
-    let mut gathered = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_broken| LocalReason::BadRequest)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if gathered.len() + data.len() > limit {
+        if buffer.len() + data.len() > limit {
             return Err(LocalReason::BodyTooLong.into());
         }
-        if !held.grow(data.len()) {
+        if !counter.grow(data.len()) {
             return Err(LocalReason::Overloaded.into());
         }
-        gathered.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok((gathered.freeze(), held))
+    Ok((buffer.freeze(), counter))
 }
--- a/crates/hibiscus-traffic/src/handler/forwarding.rs
+++ b/crates/hibiscus-traffic/src/handler/forwarding.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one server after the other until one answers.
+//! Sends a request to one backend server after the other until one responds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -47,45 +47,50 @@
 use crate::wire_format::ServerHeaders;
 use crate::wire_format::WireFormat;
 
-/// Servers tried for one request while none has run it.
-const TRIES: usize = 4;
+/// Maximum number of servers tried for one request, not counting those whose
+/// port is closed.
+const TRIED_SERVERS_LIMIT: usize = 4;
 
-/// Servers with a closed port that are passed over for one request.
-const CLOSED_TRIES: usize = 12;
+/// Maximum number of servers with a closed port that are skipped for one
+/// request.
+const CLOSED_SERVERS_LIMIT: usize = 12;
 
-/// Longest answer that is gathered before its head goes out, in bytes.
-const GATHER_LIMIT: usize = 256 * 1024;
+/// Maximum size of a buffered response body. A response that is not a stream
+/// is read whole before its head is sent to the caller.
+const BUFFERED_BODY_LIMIT_BYTES: usize = 256 * 1024;
 
-/// Time below which sending to another server is not worth it.
-const LEAST_TIME: Duration = Duration::from_millis(20);
+/// Minimum time before the deadline for sending to another server.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
 
-/// What was tried for one request so far.
-struct ForwardTrail {
+/// The attempts for one request so far.
+struct AttemptHistory {
     tried: Vec<ServerName>,
-    /// Those whose port was closed, which costs a round trip.
+    /// Tried servers whose port was closed. Each cost one round trip.
     closed: usize,
-    /// Servers that may have run the request.
+    /// Number of servers that may have run the request.
     runs: u32,
-    /// The answer when nothing better comes.
+    /// Local response if no attempt succeeds.
     refusal: LocalRefusal,
-    /// A server's own failure, which says more than the reason.
+    /// Last error response of a server. It is forwarded in place of `refusal`,
+    /// since it tells the caller more.
     failure: Option<Response<Bytes>>,
 }
 
-/// What follows an attempt.
+/// What to do after an attempt.
 enum NextStep {
-    /// The caller gets this.
-    Answer(Box<ForwardedAnswer>),
-    /// Another server may be tried, as a retry.
+    /// Send this response to the caller.
+    Respond(Box<ForwardedResponse>),
+    /// Try another server; this counts as a retry.
     Retry,
-    /// Another server may be tried: nothing arrived at this one.
-    Elsewhere,
-    /// Nothing more may be tried.
-    End,
+    /// Try another server. Nothing arrived at this one, so this does not count
+    /// as a retry.
+    TryElsewhere,
+    /// Give up.
+    Stop,
 }
 
-impl ForwardTrail {
-    /// No server ran the request at this attempt.
+impl AttemptHistory {
+    /// Records an attempt at which no server ran the request.
     fn note_not_run(&mut self, reason: LocalReason, charge: Option<&Rc<RequestCharge>>) {
         if self.runs > 0 {
             return;
@@ -96,24 +101,26 @@
         }
     }
 
-    /// No other server can be used; a refusal of one that was tried says more.
-    fn note_none(&mut self, none: NoServer) {
+    /// Records that no other server is usable. If a tried server refused the
+    /// request, the refusal keeps that reason, since it tells the caller more.
+    fn note_no_server(&mut self, none: NoServer) {
         if self.runs > 0 {
             return;
         }
-        if let NoServer::Pausing(back) = none {
+        if let NoServer::Pausing(pause) = none {
             let reason = match self.refusal.reason {
                 LocalReason::NoServer => LocalReason::ServersPausing,
                 other => other,
             };
             self.refusal = LocalRefusal {
                 reason,
-                chance: back,
+                recovery: pause,
             };
         }
     }
 
-    /// A server may have run the request, and its answer is no use.
+    /// Records an attempt at which a server may have run the request but gave no
+    /// usable response.
     fn note_failed(
         &mut self,
         admitted: &AdmittedRequest,
@@ -123,45 +130,53 @@
         event!(
             EventCode::ServerFailed,
             "request={} server={server} cause={cause} after_ms={}",
-            admitted.signs.id,
+            admitted.caller_headers.id,
             admitted.arrived.elapsed().as_millis()
         );
         self.runs += 1;
-        self.refusal = LocalReason::Unknown.into();
+        self.refusal = LocalReason::OutcomeUnknown.into();
         if may_run_again(admitted, self.runs) {
             NextStep::Retry
         } else {
-            NextStep::End
+            NextStep::Stop
         }
     }
 
-    /// The end without an answer of a server that is of use.
-    fn end(self) -> Result<ForwardedAnswer> {
-        self.failure.map(ForwardedAnswer::Whole).ok_or(self.refusal)
+    /// Result when no attempt succeeded: the last error response of a server, or
+    /// the refusal.
+    fn into_failure(self) -> Result<ForwardedResponse> {
+        self.failure
+            .map(ForwardedResponse::Whole)
+            .ok_or(self.refusal)
     }
 }
 
-/// What is known against the request; fails when it must not be sent.
-pub(super) fn check_standing<D: WireFormat>(
+/// Returns whether the request is suspected of crashing servers.
+///
+/// # Errors
+///
+/// Fails when the request is quarantined and must not be sent.
+pub(super) fn check_quarantine<D: WireFormat>(
     state: &TrafficState<D>,
     admitted: &AdmittedRequest,
 ) -> Result<SuspectStanding> {
     let standing = state.suspects.standing(&admitted.identity);
     if let SuspectStanding::Condemned(_) = standing {
-        let print = admitted.identity.print();
-        suspects::log_standing(&admitted.signs.id, &print, &standing);
-        return Err(LocalReason::EndsServers.into());
+        let fingerprint = admitted.identity.print();
+        suspects::log_standing(&admitted.caller_headers.id, &fingerprint, &standing);
+        return Err(LocalReason::CrashesServers.into());
     }
     Ok(standing)
 }
 
-/// Sends the request until a server answers or nothing more may be tried.
+/// Sends the request to servers until one responds or no further attempt is
+/// allowed.
 pub(super) async fn forward<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     admitted: &AdmittedRequest,
     charge: Option<Rc<RequestCharge>>,
-) -> Result<ForwardedAnswer> {
-    let mut trail = ForwardTrail {
+) -> Result<ForwardedResponse> {
+    let mut history = AttemptHistory {
         tried: Vec::new(),
         closed: 0,
         runs: 0,
@@ -172,21 +187,23 @@
         .retries
         .borrow_mut()
         .count_request(&admitted.service, state.now());
-    while trail.closed < CLOSED_TRIES && trail.tried.len() - trail.closed < TRIES {
-        let left = admitted.until.saturating_duration_since(Instant::now());
-        if left < LEAST_TIME {
-            let sent = trail.runs > 0;
-            trail.refusal = if sent {
+    while history.closed < CLOSED_SERVERS_LIMIT
+        && history.tried.len() - history.closed < TRIED_SERVERS_LIMIT
+    {
+        let time_left = admitted.deadline.saturating_duration_since(Instant::now());
+        if time_left < MIN_ATTEMPT_TIME {
+            let sent = history.runs > 0;
+            history.refusal = if sent {
                 LocalReason::TimedOut.into()
             } else {
-                LocalReason::TimeSpent.into()
+                LocalReason::ExpiredBeforeSend.into()
             };
             break;
         }
-        match attempt(state, admitted, charge.as_ref(), &mut trail).await {
-            NextStep::Answer(answer) => return Ok(*answer),
-            NextStep::Elsewhere => {}
-            NextStep::End => break,
+        match attempt(state, admitted, charge.as_ref(), &mut history).await {
+            NextStep::Respond(response) => return Ok(*response),
+            NextStep::TryElsewhere => {}
+            NextStep::Stop => break,
             NextStep::Retry => {
                 let instances = state.directory.borrow().possibly_live_count();
                 let mut retries = state.retries.borrow_mut();
@@ -197,25 +214,25 @@
             }
         }
     }
-    trail.end()
+    history.into_failure()
 }
 
-/// Chooses a server that was not tried and sends the request there.
+/// Sends the request to a server that has not been tried yet.
 async fn attempt<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     admitted: &AdmittedRequest,
     charge: Option<&Rc<RequestCharge>>,
-    trail: &mut ForwardTrail,
+    history: &mut AttemptHistory,
 ) -> NextStep {
-    // Other instances may have learned more since the attempt before.
-    let standing = match check_standing(state, admitted) {
+    // Other instances may have reported crashes since the last attempt.
+    let standing = match check_quarantine(state, admitted) {
         Ok(standing) => standing,
         Err(refusal) => {
-            trail.refusal = refusal;
-            return NextStep::End;
+            history.refusal = refusal;
+            return NextStep::Stop;
         }
     };
-    let (shared, own_tokens) = shared_parts(&admitted.signs);
+    let (shared, own_tokens) = shared_parts(&admitted.caller_headers);
     let case = PlacementCase {
         shared: &shared,
         own_tokens,
@@ -224,7 +241,7 @@
     let others = state.directory.borrow().live_count().saturating_sub(1);
     let chosen = state.servers.borrow().choose(
         &admitted.service,
-        &trail.tried,
+        &history.tried,
         &state.data_centre,
         others,
         &case,
@@ -232,49 +249,55 @@
     let chosen = match chosen {
         Ok(chosen) => chosen,
         Err(none) => {
-            trail.note_none(none);
-            return NextStep::End;
+            history.note_no_server(none);
+            return NextStep::Stop;
         }
     };
     let name = chosen.server.entry.name.clone();
-    trail.tried.push(name.clone());
+    history.tried.push(name.clone());
     let mut headers = admitted.headers.clone();
-    let signs = ServerHeaders {
+    let server_headers = ServerHeaders {
         server: &name,
         team: admitted.team.as_ref().map(|team| &team.name),
-        time_left: admitted.until.saturating_duration_since(Instant::now()),
+        time_left: admitted.deadline.saturating_duration_since(Instant::now()),
         urgency: urgency(admitted),
         resume_after: None,
     };
-    state.dialect.set_server_headers(&signs, &mut headers);
+    state
+        .dialect
+        .set_server_headers(&server_headers, &mut headers);
     let outgoing = OutgoingRequest {
         method: &admitted.method,
         target: admitted.identity.target(),
         headers: &headers,
         body: &admitted.identity.body,
-        id: &admitted.signs.id,
-        until: admitted.until,
-        abandon_if_silent: may_run_again(admitted, trail.runs + 1),
+        id: &admitted.caller_headers.id,
+        deadline: admitted.deadline,
+        abandon_if_silent: may_run_again(admitted, history.runs + 1),
     };
-    let suspect = match &standing {
+    let suspect_fingerprint = match &standing {
         SuspectStanding::Clear => None,
         _ => Some(admitted.identity.print()),
     };
-    if let Some(print) = &suspect
-        && trail.tried.len() == 1
+    if let Some(fingerprint) = &suspect_fingerprint
+        && history.tried.len() == 1
     {
-        suspects::log_standing(&admitted.signs.id, print, &standing);
+        suspects::log_standing(&admitted.caller_headers.id, fingerprint, &standing);
     }
-    let flight = InFlightRequest::begin(&chosen, &shared, state.now());
+    let in_flight = InFlightRequest::begin(&chosen, &shared, state.now());
     if let Some(charge) = charge {
         charge.note_sent(true);
     }
     event!(
         EventCode::RequestForwarded,
         "request={} server={name}",
-        admitted.signs.id
+        admitted.caller_headers.id
+    );
+    let request = ExposedRequest::new(
+        &admitted.caller_headers.id,
+        &admitted.identity,
+        standing.rounds(),
     );
-    let request = ExposedRequest::new(&admitted.signs.id, &admitted.identity, standing.rounds());
     let has_other = || {
         let instances = state.directory.borrow().possibly_live_count();
         let mut retries = state.retries.borrow_mut();
@@ -282,232 +305,244 @@
             && state
                 .servers
                 .borrow()
-                .has_other(&admitted.service, &trail.tried)
+                .has_other(&admitted.service, &history.tried)
     };
-    let report = send::send(&state.dialect, flight, &outgoing, has_other).await;
-    if report.leaving {
+    let report = send::send(&state.dialect, in_flight, &outgoing, has_other).await;
+    if report.draining {
         state.note_leaving(&chosen.server.entry.start(), "answer");
     }
     let attempt = SentAttempt {
         server: chosen.server,
         request,
-        endings: Rc::clone(&state.endings),
+        crash_detector: Rc::clone(&state.endings),
         suspects: Rc::clone(&state.suspects),
-        suspect,
+        suspect_fingerprint,
     };
-    follow(admitted, charge, trail, attempt, report.outcome).await
+    handle_outcome(admitted, charge, history, attempt, report.outcome).await
 }
 
-/// A request that was sent to a server, and where to tell what became of it.
+/// A request that was sent to a server, and the parts that are notified of its
+/// outcome.
 #[derive(Clone)]
 pub(super) struct SentAttempt {
     server: Rc<ServerHandle>,
     request: ExposedRequest,
-    endings: Rc<EndingWatch>,
+    crash_detector: Rc<EndingWatch>,
     suspects: Rc<SuspectDesk>,
-    /// The request, if servers ended under it before.
-    suspect: Option<RequestPrint>,
+    /// Fingerprint of the request if servers crashed while they ran it before.
+    suspect_fingerprint: Option<RequestPrint>,
 }
 
 impl SentAttempt {
-    /// The server answered the whole of it.
-    fn note_answered(&self) {
-        if let Some(print) = &self.suspect {
-            self.suspects.note_answered(&self.request.id, print);
+    /// Records that the server sent a whole response.
+    fn note_responded(&self) {
+        if let Some(fingerprint) = &self.suspect_fingerprint {
+            self.suspects.note_answered(&self.request.id, fingerprint);
         }
     }
 
-    /// The server gave no answer that is of use.
+    /// Handles an attempt without a usable response.
     fn fail(
         self,
         admitted: &AdmittedRequest,
-        trail: &mut ForwardTrail,
+        history: &mut AttemptHistory,
         cause: FailureCause,
     ) -> NextStep {
-        let next = trail.note_failed(admitted, &self.server.entry.name, cause);
-        if !cause.is_broken() {
+        let next = history.note_failed(admitted, &self.server.entry.name, cause);
+        if !cause.may_be_crash() {
             return next;
         }
-        self.endings.note_broken(&self.server, Some(self.request));
-        // The next server would end too if the request ends servers.
-        if self.suspect.is_some() {
-            return NextStep::End;
+        self.crash_detector
+            .note_broken(&self.server, Some(self.request));
+        // If this request crashes servers, the next one would crash too.
+        if self.suspect_fingerprint.is_some() {
+            return NextStep::Stop;
         }
         next
     }
 }
 
-/// Decides what follows the outcome of an attempt.
-async fn follow(
+/// Decides what to do after the outcome of an attempt.
+async fn handle_outcome(
     admitted: &AdmittedRequest,
     charge: Option<&Rc<RequestCharge>>,
-    trail: &mut ForwardTrail,
+    history: &mut AttemptHistory,
     attempt: SentAttempt,
     outcome: SendOutcome,
 ) -> NextStep {
     let server = Rc::clone(&attempt.server);
     let name = &server.entry.name;
     match outcome {
-        SendOutcome::Answered(answer) => {
-            match take_answer(admitted, *answer, charge, &attempt).await {
-                Ok(ForwardedAnswer::Whole(answer)) if answer.status().is_server_error() => {
-                    trail.failure = Some(answer);
-                    trail.note_failed(admitted, name, FailureCause::ServerError)
+        SendOutcome::Responded(response) => {
+            match receive_response(admitted, *response, charge, &attempt).await {
+                Ok(ForwardedResponse::Whole(response)) if response.status().is_server_error() => {
+                    history.failure = Some(response);
+                    history.note_failed(admitted, name, FailureCause::ServerError)
                 }
-                Ok(answer) => NextStep::Answer(Box::new(answer)),
-                Err(cause) => attempt.fail(admitted, trail, cause),
+                Ok(response) => NextStep::Respond(Box::new(response)),
+                Err(cause) => attempt.fail(admitted, history, cause),
             }
         }
         SendOutcome::NotSent(fault) => {
             event!(
                 EventCode::ServerNotReached,
                 "request={} server={name} cause={fault:?}",
-                admitted.signs.id
+                admitted.caller_headers.id
             );
-            trail.note_not_run(LocalReason::NoServer, charge);
+            history.note_not_run(LocalReason::NoServer, charge);
             if fault == ConnectFault::Closed {
-                // One known to be closed is tried for want of others only.
-                trail.closed += usize::from(!server.is_closed());
-                attempt.endings.note_broken(&server, None);
+                // A server known to be closed is tried only if no other is left,
+                // so it does not count.
+                history.closed += usize::from(!server.is_closed());
+                attempt.crash_detector.note_broken(&server, None);
             }
-            NextStep::Elsewhere
+            NextStep::TryElsewhere
         }
         SendOutcome::NotRun(status) => {
             event!(
                 EventCode::ServerRefused,
                 "request={} server={name} status={status}",
-                admitted.signs.id
+                admitted.caller_headers.id
             );
-            trail.note_not_run(LocalReason::ServersFull, charge);
+            history.note_not_run(LocalReason::ServersFull, charge);
             NextStep::Retry
         }
         SendOutcome::Withdrawn => {
-            trail.note_not_run(LocalReason::NoServer, charge);
-            NextStep::Elsewhere
+            history.note_not_run(LocalReason::NoServer, charge);
+            NextStep::TryElsewhere
         }
-        SendOutcome::Unknown(cause) => attempt.fail(admitted, trail, cause),
+        SendOutcome::Unknown(cause) => attempt.fail(admitted, history, cause),
         SendOutcome::TimedOut => {
-            trail.refusal = LocalReason::TimedOut.into();
-            NextStep::End
+            history.refusal = LocalReason::TimedOut.into();
+            NextStep::Stop
         }
     }
 }
 
-/// Whether another server may run the request after `runs` may have.
+/// Whether another server may run the request after `runs` servers may have
+/// run it.
 fn may_run_again(admitted: &AdmittedRequest, runs: u32) -> bool {
     admitted.route.kind.is_repeatable() && runs < admitted.route.attempts
 }
 
-/// An answer that may go to the caller.
-pub(super) enum ForwardedAnswer {
-    /// All of it is here.
+/// A server's response that is forwarded to the caller.
+pub(super) enum ForwardedResponse {
+    /// A response whose body has been read whole.
     Whole(Response<Bytes>),
-    /// A stream that has begun.
-    Stream(Box<BegunStream>),
+    /// A stream whose body is forwarded as it arrives.
+    Stream(Box<StartedStream>),
 }
 
-/// A stream whose head has come.
-pub(super) struct BegunStream {
+/// A stream whose head has arrived.
+pub(super) struct StartedStream {
     head: http::response::Parts,
     body: Incoming,
-    flight: InFlightRequest,
+    in_flight: InFlightRequest,
     charge: Option<Rc<RequestCharge>>,
     attempt: SentAttempt,
 }
 
-impl ForwardedAnswer {
-    /// The caller's answer; a stream counts as in progress until it has passed.
-    pub(super) fn into_answer(
+impl ForwardedResponse {
+    /// Converts this into the response to the caller. A stream counts as in
+    /// progress until its body has been forwarded.
+    pub(super) fn into_response(
         self,
         admitted: &AdmittedRequest,
         progress: RequestProgress,
-        measures: Rc<TrafficMetrics>,
+        metrics: Rc<TrafficMetrics>,
     ) -> Response<ResponseBody> {
         let kind = admitted.route.kind;
         let stream = match self {
-            Self::Whole(answer) => {
-                let taken = admitted.arrived.elapsed();
-                measures.record_first_event(kind, taken);
-                measures.record_request_end(Some(kind), RequestOutcome::Passed, taken);
-                return answer.map(ResponseBody::whole);
+            Self::Whole(response) => {
+                let elapsed = admitted.arrived.elapsed();
+                metrics.record_first_event(kind, elapsed);
+                metrics.record_request_end(Some(kind), RequestOutcome::Forwarded, elapsed);
+                return response.map(ResponseBody::whole);
             }
             Self::Stream(stream) => *stream,
         };
         let attempt = stream.attempt;
         let engine = admitted.table.engine(&admitted.service);
-        let watch = ResponseTracker {
-            id: admitted.signs.id.clone(),
+        let tracker = ResponseTracker {
+            id: admitted.caller_headers.id.clone(),
             kind,
             arrived: admitted.arrived,
-            heard: None,
-            measures,
-            flight: stream.flight,
+            last_event: None,
+            metrics,
+            in_flight: stream.in_flight,
             charge: stream.charge,
             tokens_per_event: engine.map_or(1, |engine| engine.tokens_per_event),
             progress,
-            exposure: StreamExposure::new(attempt.request, attempt.endings),
+            exposure: StreamExposure::new(attempt.request, attempt.crash_detector),
             suspects: attempt.suspects,
-            suspect: attempt.suspect,
+            suspect_fingerprint: attempt.suspect_fingerprint,
         };
-        let deadline = tokio::time::sleep_until(admitted.until.into());
-        let relay = StreamForwarder::new(stream.body, admitted.signs.resume_after, deadline, watch);
-        Response::from_parts(stream.head, ResponseBody::Stream(Box::new(relay)))
+        let deadline = tokio::time::sleep_until(admitted.deadline.into());
+        let forwarder = StreamForwarder::new(
+            stream.body,
+            admitted.caller_headers.resume_after,
+            deadline,
+            tracker,
+        );
+        Response::from_parts(stream.head, ResponseBody::Stream(Box::new(forwarder)))
     }
 }
 
-/// Takes a server's answer over: a stream passes as it comes, any other body
-/// is gathered first, so that a broken one is never begun.
-async fn take_answer(
+/// Receives a server's response. A stream is forwarded as it arrives. Any other
+/// body is read whole first, so that the caller never gets the start of a
+/// response that breaks off.
+async fn receive_response(
     admitted: &AdmittedRequest,
-    answer: ServerResponse,
+    response: ServerResponse,
     charge: Option<&Rc<RequestCharge>>,
     attempt: &SentAttempt,
-) -> std::result::Result<ForwardedAnswer, FailureCause> {
-    let (mut head, body) = answer.answer.into_parts();
+) -> std::result::Result<ForwardedResponse, FailureCause> {
+    let (mut head, body) = response.response.into_parts();
     send::strip_connection_headers(&mut head.headers);
-    let mut flight = answer.flight;
+    let mut in_flight = response.in_flight;
     if admitted.route.kind.is_stream() && head.status.is_success() {
-        return Ok(ForwardedAnswer::Stream(Box::new(BegunStream {
+        return Ok(ForwardedResponse::Stream(Box::new(StartedStream {
             head,
             body,
-            flight,
+            in_flight,
             charge: charge.map(Rc::clone),
             attempt: attempt.clone(),
         })));
     }
-    let wait = admitted.until.saturating_duration_since(Instant::now());
-    let gathered = Limited::new(body, GATHER_LIMIT).collect();
-    let gathered = tokio::time::timeout(wait, gathered).await;
-    let Ok(Ok(gathered)) = gathered else {
-        flight.server().note_failed();
-        return Err(FailureCause::AnswerBroken);
+    let wait = admitted.deadline.saturating_duration_since(Instant::now());
+    let collected = Limited::new(body, BUFFERED_BODY_LIMIT_BYTES).collect();
+    let collected = tokio::time::timeout(wait, collected).await;
+    let Ok(Ok(collected)) = collected else {
+        in_flight.server().note_failed();
+        return Err(FailureCause::ResponseBroken);
     };
-    flight.note_read();
-    flight.server().note_healthy();
-    attempt.note_answered();
+    in_flight.note_read();
+    in_flight.server().note_healthy();
+    attempt.note_responded();
     event!(
         EventCode::RequestEnded,
         "request={} server={} status={} total_ms={}",
-        admitted.signs.id,
-        flight.server().entry.name,
+        admitted.caller_headers.id,
+        in_flight.server().entry.name,
         head.status.as_u16(),
         admitted.arrived.elapsed().as_millis()
     );
-    flight.keep_link();
-    let answer = Response::from_parts(head, gathered.to_bytes());
-    Ok(ForwardedAnswer::Whole(answer))
+    in_flight.keep_connection();
+    let response = Response::from_parts(head, collected.to_bytes());
+    Ok(ForwardedResponse::Whole(response))
 }
 
-/// The team's priority goes before the route's.
+/// Urgency of the request: the team's priority if it has one, else the route's.
 fn urgency(admitted: &AdmittedRequest) -> u8 {
     let team = admitted.team.as_ref().and_then(|team| team.priority);
     team.unwrap_or(admitted.route.priority)
 }
 
-/// The parts of a prompt that other requests may share, and the rest's tokens.
-fn shared_parts(signs: &CallerHeaders) -> (Vec<PartTokens>, u64) {
-    let Some((own, shared)) = signs.parts.split_last() else {
-        return (Vec::new(), signs.prompt_tokens);
+/// Splits a prompt into the parts that other requests may share and the tokens
+/// of its own part.
+fn shared_parts(caller_headers: &CallerHeaders) -> (Vec<PartTokens>, u64) {
+    let Some((own, shared)) = caller_headers.parts.split_last() else {
+        return (Vec::new(), caller_headers.prompt_tokens);
     };
     let shared = shared.iter().map(|part| (part.id, part.tokens)).collect();
     (shared, own.tokens)
--- a/crates/hibiscus-traffic/src/handler/reservation.rs
+++ b/crates/hibiscus-traffic/src/handler/reservation.rs
@@ -1,4 +1,4 @@
-//! The tokens that a request needs before it is sent.
+//! Reserves the tokens of a request before it is sent.
 
 use std::rc::Rc;
 
@@ -15,19 +15,23 @@
 use crate::supply;
 use crate::wire_format::WireFormat;
 
-/// Logs what was held when a request got no tokens.
+/// Logs the tokens held when a request's reservation failed.
 pub(super) fn log_shortage<D: WireFormat>(state: &TrafficState<D>, admitted: &AdmittedRequest) {
     let Some(team) = &admitted.team else {
         return;
     };
     let budget = BudgetName::new(team.name.as_str());
-    let tokens = TokenCount::new(admitted.signs.prompt_tokens + admitted.signs.output_tokens);
+    let tokens = TokenCount::new(
+        admitted.caller_headers.prompt_tokens + admitted.caller_headers.output_tokens,
+    );
     state
         .budgets
-        .log_shortage(&admitted.signs.id, &budget, tokens);
+        .log_shortage(&admitted.caller_headers.id, &budget, tokens);
 }
 
-/// Sets aside the most that the request may cost.
+/// Reserves the maximum cost of the request: its prompt and the most output
+/// tokens. Returns `None` when the team has no prepaid budget or the request
+/// costs nothing.
 pub(super) async fn reserve<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     admitted: &AdmittedRequest,
@@ -35,25 +39,25 @@
     let Some(team) = &admitted.team else {
         return Ok(None);
     };
-    let most = admitted.signs.prompt_tokens + admitted.signs.output_tokens;
-    if team.prepaid.is_none() || most == 0 {
+    let max_tokens = admitted.caller_headers.prompt_tokens + admitted.caller_headers.output_tokens;
+    if team.prepaid.is_none() || max_tokens == 0 {
         return Ok(None);
     }
     let budget = BudgetName::new(team.name.as_str());
-    let tokens = TokenCount::new(most);
-    let hold = supply::reserve(state, &budget, tokens, admitted.until).await;
+    let tokens = TokenCount::new(max_tokens);
+    let hold = supply::reserve(state, &budget, tokens, admitted.deadline).await;
     let hold = hold.map_err(|refusal| LocalRefusal {
         reason: match refusal {
             TokenRefusal::Spent => LocalReason::BudgetSpent,
             TokenRefusal::Unconfirmed | TokenRefusal::Later(_) => LocalReason::BudgetUnconfirmed,
         },
-        chance: refusal.chance(),
+        recovery: refusal.chance(),
     })?;
     let charge = RequestCharge::new(
         state.budgets.clone(),
         budget,
         hold,
-        admitted.signs.prompt_tokens,
+        admitted.caller_headers.prompt_tokens,
     );
     Ok(Some(Rc::new(charge)))
 }
--- a/crates/hibiscus-traffic/src/holders.rs
+++ b/crates/hibiscus-traffic/src/holders.rs
@@ -126,7 +126,7 @@
         let group = group_of(budget, groups);
         let known = self.by_group.entry(group).or_insert_with(|| {
             let own = directory.own();
-            let mut holders = holders_of(group, groups, directory.answering());
+            let mut holders = holders_of(group, groups, directory.responding());
             let count = u32::try_from(holders.len()).unwrap_or(u32::MAX);
             let own_rank = holders.iter().position(|holder| holder.name == own.name);
             holders.retain(|holder| holder.name != own.name);
--- a/crates/hibiscus-traffic/src/in_flight.rs
+++ b/crates/hibiscus-traffic/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! A request on its way at one server, and what it costs.
+//! In-flight requests: their token charge, their connection to a backend server
+//! and the progress of their response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -27,8 +28,9 @@
 use crate::traffic_metrics::RequestOutcome;
 use crate::traffic_metrics::TrafficMetrics;
 
-/// A request's reservation. It is settled once, when the last owner is
-/// dropped, by what was noted until then.
+/// The token reservation of a request. It is settled when the last owner is
+/// dropped: a request that was sent is charged its prompt and the output tokens
+/// delivered until then; any other is charged nothing.
 #[derive(Debug)]
 pub struct RequestCharge {
     budgets: BudgetHandle,
@@ -40,7 +42,8 @@
 }
 
 impl RequestCharge {
-    /// The charge of a request with `prompt` tokens that `hold` pays for.
+    /// Creates the charge of a request whose prompt has `prompt` tokens and whose
+    /// reservation is `hold`.
     pub fn new(budgets: BudgetHandle, budget: BudgetName, hold: TokenHold, prompt: u64) -> Self {
         Self {
             budgets,
@@ -52,13 +55,13 @@
         }
     }
 
-    /// The request went to a server, so its prompt is charged unless it is
-    /// proved that no server ran it.
+    /// Sets whether the request was sent to a server. The prompt is charged if so,
+    /// unless it is proved that no server ran it.
     pub fn note_sent(&self, sent: bool) {
         self.sent.set(sent);
     }
 
-    /// Output tokens went to the caller.
+    /// Adds output tokens that were delivered to the caller.
     pub fn note_delivered(&self, tokens: u64) {
         self.delivered.set(self.delivered.get() + tokens);
     }
@@ -76,111 +79,115 @@
     }
 }
 
-/// A request at a server. Dropping it before its answer was whole closes the
-/// connection, which tells the server to stop.
+/// A request in flight at a server. Dropping it before the response is complete
+/// closes the connection, which makes the server abort the request.
 #[derive(Debug)]
 pub struct InFlightRequest {
     server: Rc<ServerHandle>,
-    link: Option<ServerConnection>,
+    connection: Option<ServerConnection>,
+    /// Prompt tokens counted as unread until the first output token arrives.
     unread: Option<u64>,
-    /// Whether it tries the server after a refusal, until the server's word.
-    trial: Option<bool>,
+    /// Whether the request probes the server after a refusal; `None` once the
+    /// server has responded.
+    is_probe: Option<bool>,
 }
 
 impl InFlightRequest {
-    /// Counts a request with the shared `parts` at the chosen server, from
-    /// before there is a connection until the flight is dropped.
+    /// Counts a request with the shared `parts` at the chosen server. It counts
+    /// from before a connection is open until the returned value is dropped.
     pub fn begin(chosen: &ChosenServer, parts: &[PartTokens], now: Duration) -> Self {
-        let trial = chosen.server.note_sent(parts, chosen.unread, now);
+        let is_probe = chosen.server.note_sent(parts, chosen.unread, now);
         Self {
             server: Rc::clone(&chosen.server),
-            link: None,
+            connection: None,
             unread: Some(chosen.unread),
-            trial: Some(trial),
+            is_probe: Some(is_probe),
         }
     }
 
-    /// Takes the connection that the request uses.
-    pub fn use_link(&mut self, link: ServerConnection) -> &mut ServerConnection {
-        self.link.insert(link)
+    /// Sets the connection that the request uses.
+    pub fn use_connection(&mut self, connection: ServerConnection) -> &mut ServerConnection {
+        self.connection.insert(connection)
     }
 
-    /// The server.
+    /// The server that the request was sent to.
     pub fn server(&self) -> &Rc<ServerHandle> {
         &self.server
     }
 
-    /// The connection.
-    pub fn link(&mut self) -> Option<&mut ServerConnection> {
-        self.link.as_mut()
+    /// The connection that the request uses.
+    pub fn connection(&mut self) -> Option<&mut ServerConnection> {
+        self.connection.as_mut()
     }
 
-    /// Whether the request may still be sent.
-    pub fn may_leave(&self) -> bool {
-        self.trial
-            .is_some_and(|trial| self.server.still_takes(trial))
+    /// Whether the server still takes the request.
+    pub fn may_send(&self) -> bool {
+        self.is_probe
+            .is_some_and(|is_probe| self.server.still_takes(is_probe))
     }
 
-    /// The server took the request.
-    pub fn note_taken(&mut self) {
-        if let Some(trial) = self.trial.take() {
-            self.server.note_taken(trial);
+    /// Records that the server accepted the request.
+    pub fn note_accepted(&mut self) {
+        if let Some(is_probe) = self.is_probe.take() {
+            self.server.note_taken(is_probe);
         }
     }
 
-    /// The server refused the request, and wants none for `pause`.
+    /// Records that the server refused the request and wants no others for
+    /// `pause`.
     pub fn note_refused(&mut self, pause: Option<Duration>) {
-        self.trial = None;
+        self.is_probe = None;
         self.server.note_refused(pause);
     }
 
-    /// The first token came.
+    /// Records that the first output token arrived, so the prompt has been read.
     pub fn note_read(&mut self) {
         if let Some(unread) = self.unread.take() {
             self.server.note_read(unread);
         }
     }
 
-    /// The answer is whole: keeps the connection, once it has shown that
-    /// nothing follows the answer on it.
-    pub fn keep_link(&mut self) {
-        let Some(mut link) = self.link.take() else {
+    /// Keeps the connection for later requests. Called when the response is
+    /// complete; the connection is kept once it is ready for the next request,
+    /// so that nothing more can arrive for this one.
+    pub fn keep_connection(&mut self) {
+        let Some(mut connection) = self.connection.take() else {
             return;
         };
         let server = Rc::clone(&self.server);
         tokio::task::spawn_local(async move {
-            let ready = link.sender().ready();
-            if let Ok(Ok(())) = tokio::time::timeout(LINK_REST, ready).await {
-                server.park(link);
+            let ready = connection.sender().ready();
+            if let Ok(Ok(())) = tokio::time::timeout(REUSE_TIMEOUT, ready).await {
+                server.park(connection);
             }
         });
     }
 }
 
-/// Time for a connection to become ready for the next request.
-const LINK_REST: Duration = Duration::from_millis(500);
+/// Timeout for a connection to become ready for the next request.
+const REUSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.note_read();
-        if let Some(trial) = self.trial {
-            self.server.note_unanswered(trial);
+        if let Some(is_probe) = self.is_probe {
+            self.server.note_unanswered(is_probe);
         }
         self.server.note_ended();
     }
 }
 
-/// Counts a request until its answer has passed.
+/// Counts a request as in progress until its response has been sent.
 #[derive(Debug)]
 pub struct RequestProgress {
-    /// At its connection.
+    /// The count at the caller's connection.
     request: CallerRequest,
-    /// At the instance.
+    /// The count at this instance.
     _count: CountGuard,
 }
 
 impl RequestProgress {
-    /// Counts `request` of a connection, and one more at the instance.
+    /// Combines the counts at the connection and at this instance.
     pub fn new(request: CallerRequest, count: CountGuard) -> Self {
         Self {
             request,
@@ -188,77 +195,79 @@
         }
     }
 
-    /// The request's body was read to its end.
+    /// Records that the request's body was read to its end.
     pub fn note_body_read(&self) {
         self.request.note_body_read();
     }
 
-    /// Why this instance ended the connection before the answer had passed;
-    /// `None` when the caller did, or the path to it.
-    pub fn closing(&self) -> Option<CloseReason> {
-        self.request.closing()
+    /// Why this instance closed the connection before the response was sent.
+    /// `None` if the caller or the network closed it.
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        self.request.close_reason()
     }
 }
 
-/// Follows an answer that passes to a caller.
+/// Tracks a streamed response while it is forwarded to the caller: updates the
+/// metrics, the token charge and the state of the server.
 #[derive(Debug)]
 pub struct ResponseTracker {
-    /// The request's number, for the log.
+    /// Request id, for the log.
     pub id: String,
-    /// What may be repeated.
+    /// Kind of the request, for the metrics.
     pub kind: RequestKind,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When its last event passed.
-    pub heard: Option<Instant>,
-    /// Where its times are counted.
-    pub measures: Rc<TrafficMetrics>,
-    /// Where it runs.
-    pub flight: InFlightRequest,
-    /// What it costs.
+    /// When the last event was forwarded.
+    pub last_event: Option<Instant>,
+    /// Metrics to update.
+    pub metrics: Rc<TrafficMetrics>,
+    /// The request in flight at the server.
+    pub in_flight: InFlightRequest,
+    /// Token charge; `None` for a request that is not charged.
     pub charge: Option<Rc<RequestCharge>>,
-    /// Output tokens in an event.
+    /// Output tokens in one event.
     pub tokens_per_event: u64,
-    /// Counts the request until its answer has passed.
+    /// Counts the request as in progress until its response has been sent.
     pub progress: RequestProgress,
-    /// The request, for as long as its server may end under it.
+    /// Attributes a crash of the server to the request while it runs.
     pub exposure: StreamExposure,
-    /// Where to tell that it was answered.
+    /// Requests suspected of crashing servers.
     pub suspects: Rc<SuspectDesk>,
-    /// The request, if servers ended under it before.
-    pub suspect: Option<RequestPrint>,
+    /// Fingerprint of the request if it is suspected of crashing servers.
+    pub suspect_fingerprint: Option<RequestPrint>,
 }
 
 impl ResponseTracker {
-    /// `events` whole events passed.
-    pub fn passed(&mut self, events: u64) {
+    /// Records that `events` complete events are being forwarded.
+    pub fn record_events(&mut self, events: u64) {
         if events == 0 {
             return;
         }
         self.exposure.note_event();
         let now = Instant::now();
-        match self.heard.replace(now) {
+        match self.last_event.replace(now) {
             None => self
-                .measures
+                .metrics
                 .record_first_event(self.kind, now - self.arrived),
-            Some(before) => self.measures.record_event_gap(now - before),
+            Some(before) => self.metrics.record_event_gap(now - before),
         }
-        self.flight.note_read();
-        self.flight.server().note_heard();
+        self.in_flight.note_read();
+        self.in_flight.server().note_heard();
         if let Some(charge) = &self.charge {
             charge.note_delivered(events * self.tokens_per_event);
         }
     }
 
-    fn count_end(&self, outcome: RequestOutcome) {
-        self.measures
+    fn record_outcome(&self, outcome: RequestOutcome) {
+        self.metrics
             .record_request_end(Some(self.kind), outcome, self.arrived.elapsed());
     }
 
-    /// The caller left before the answer was whole.
-    pub fn left(&self) {
-        self.count_end(RequestOutcome::Left);
-        if let Some(reason) = self.progress.closing() {
+    /// Records that the caller closed the connection before the response was
+    /// complete.
+    pub fn record_caller_left(&self) {
+        self.record_outcome(RequestOutcome::CallerLeft);
+        if let Some(reason) = self.progress.close_reason() {
             event!(
                 EventCode::RequestCut,
                 "request={} reason={} answer=begun",
@@ -270,20 +279,21 @@
             EventCode::CallerLeft,
             "request={} server={} server_silent={} total_ms={}",
             self.id,
-            self.flight.server().entry.name,
-            self.flight.server().is_silent(),
+            self.in_flight.server().entry.name,
+            self.in_flight.server().is_silent(),
             self.arrived.elapsed().as_millis()
         );
     }
 
-    /// The answer ended; it was whole unless there is a fault.
-    pub fn ended(&mut self, fault: Option<BodyFault>) {
-        self.count_end(if fault.is_none() {
-            RequestOutcome::Passed
+    /// Records the end of the response, which is complete unless there is a
+    /// fault.
+    pub fn record_end(&mut self, fault: Option<BodyFault>) {
+        self.record_outcome(if fault.is_none() {
+            RequestOutcome::Forwarded
         } else {
             RequestOutcome::Broken
         });
-        let server = self.flight.server();
+        let server = self.in_flight.server();
         match fault {
             None => {
                 event!(
@@ -297,13 +307,13 @@
                     self.arrived.elapsed().as_millis()
                 );
                 server.note_healthy();
-                if let Some(print) = &self.suspect {
-                    self.suspects.note_answered(&self.id, print);
+                if let Some(fingerprint) = &self.suspect_fingerprint {
+                    self.suspects.note_answered(&self.id, fingerprint);
                 }
-                self.flight.keep_link();
+                self.in_flight.keep_connection();
             }
             Some(fault) => {
-                if matches!(fault, BodyFault::Broken | BodyFault::Endless) {
+                if matches!(fault, BodyFault::Broken | BodyFault::EventTooLong) {
                     server.note_failed();
                 }
                 if fault == BodyFault::Broken {
--- a/crates/hibiscus-traffic/src/port.rs
+++ b/crates/hibiscus-traffic/src/port.rs
@@ -1,4 +1,5 @@
-//! Ports of the traffic thread.
+//! Listening ports of the traffic thread: callers' requests, and requests about
+//! the status of this instance.
 
 use std::convert::Infallible;
 use std::io;
@@ -28,31 +29,32 @@
 use crate::tally::CloseReason;
 use crate::wire_format::WireFormat;
 
-/// Time for a head while no configuration is known.
-const FIRST_IDLE_LIMIT: Duration = Duration::from_secs(15);
-/// Least size of a connection's buffer, as the HTTP library requires.
-const LEAST_BUFFER: usize = 8 * 1024;
-/// Time for the first request on a connection that was accepted during a
-/// planned stop: callers are a few milliseconds away.
-const FIRST_REQUEST_TIME: Duration = Duration::from_millis(500);
-/// Pause after a failure to accept, such as running out of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout for the head of a request while no configuration is known.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(15);
+/// Minimum size of a connection's buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
+/// Timeout for the first request on a connection that was accepted during a
+/// graceful shutdown. Callers are a few milliseconds away.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a failed accept, such as for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Where a call about this instance comes from; an extension of its request.
+/// Source address of a status request, stored as an extension of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerAddress(pub IpAddr);
 
-/// Opens a port.
+/// Opens a listening port.
 ///
 /// # Errors
 ///
-/// Fails when the address is in use or not this machine's.
+/// Fails when the address is in use or does not belong to this machine.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
 /// Accepts callers' connections until the port is closed at the end of a
-/// planned stop. What the system has accepted by then is served too.
+/// graceful shutdown. Connections that the operating system has accepted by then
+/// are served too.
 pub async fn serve_callers<D: WireFormat>(listener: TcpListener, state: Rc<TrafficState<D>>) {
     loop {
         let accepted = tokio::select! {
@@ -76,11 +78,11 @@
     }
 }
 
-/// Answers calls about this instance with `answer`.
+/// Serves requests about the status of this instance with `handler`.
 pub async fn serve_status_requests<D, F>(
     listener: TcpListener,
     state: Rc<TrafficState<D>>,
-    answer: F,
+    handler: F,
 ) where
     D: WireFormat,
     F: Fn(&TrafficState<D>, &Request<Incoming>) -> Response<ResponseBody> + Clone + 'static,
@@ -90,47 +92,47 @@
             continue;
         };
         let state = Rc::clone(&state);
-        let answer = answer.clone();
+        let handler = handler.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(|mut request: Request<Incoming>| {
                 request.extensions_mut().insert(CallerAddress(from.ip()));
-                let answer = answer(&state, &request);
-                async move { Ok::<_, Infallible>(answer) }
+                let response = handler(&state, &request);
+                async move { Ok::<_, Infallible>(response) }
             });
-            // A connection that fails has no request to answer.
+            // A connection that fails has no request left to respond to.
             let _ended = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(FIRST_IDLE_LIMIT)
+                .header_read_timeout(DEFAULT_HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
     }
 }
 
-/// The next connection, and where it comes from.
+/// Accepts the next connection and returns it with its source address.
 async fn accept(listener: &TcpListener) -> Option<(TcpStream, SocketAddr)> {
     match listener.accept().await {
         Ok((stream, from)) => {
-            connect::set_options(&stream);
+            connect::set_socket_options(&stream);
             Some((stream, from))
         }
         Err(error) => {
             event!(EventCode::ConnectionNotAccepted, "cause={error}");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
 }
 
-/// Serves the requests of one connection.
+/// Serves the requests of one caller's connection.
 async fn serve_caller<D: WireFormat>(
     stream: TcpStream,
     caller: CallerConnection,
     state: Rc<TrafficState<D>>,
 ) {
     let limits = state.table().map(|table| table.config().limits);
-    let idle = limits.map_or(FIRST_IDLE_LIMIT, |limits| limits.idle_timeout);
-    let buffer = limits.map_or(LEAST_BUFFER, |limits| limits.header_bytes);
+    let idle = limits.map_or(DEFAULT_HEAD_TIMEOUT, |limits| limits.idle_timeout);
+    let buffer = limits.map_or(MIN_BUFFER_BYTES, |limits| limits.header_bytes);
     let service = service_fn(|request: Request<Incoming>| {
         let state = Rc::clone(&state);
         let progress = caller.begin_request();
@@ -139,28 +141,29 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
-        .max_buf_size(buffer.max(LEAST_BUFFER) * 2)
+        .max_buf_size(buffer.max(MIN_BUFFER_BYTES) * 2)
         .serve_connection(TokioIo::new(caller.watch(stream)), service);
     let mut connection = pin!(connection);
-    // The end of a connection shows at its requests, whose tasks it drops.
+    // The result is ignored: when a connection ends, its requests are dropped and
+    // log it.
     tokio::select! {
         _ended = connection.as_mut() => {}
         () = state.closing() => {
-            caller.note_stopping();
-            // The first request on a connection that was just accepted is on
-            // its way.
-            let wait = if caller.has_begun() { Duration::ZERO } else { FIRST_REQUEST_TIME };
-            if tokio::time::timeout(wait, connection.as_mut()).await.is_err() {
+            caller.note_shutdown();
+            // The first request on a connection that was just accepted may still be
+            // in transit.
+            let timeout = if caller.has_begun() { Duration::ZERO } else { FIRST_REQUEST_TIMEOUT };
+            if tokio::time::timeout(timeout, connection.as_mut()).await.is_err() {
                 connection.as_mut().graceful_shutdown();
                 let _ended = connection.await;
             }
         }
-        () = caller.ended() => {
+        () = caller.close_requested() => {
             connection.as_mut().graceful_shutdown();
             let _ended = caller.finish(connection).await;
         }
     }
-    if let Some(reason) = caller.closing() {
+    if let Some(reason) = caller.close_reason() {
         state.tally.count_close(reason);
     }
 }
--- a/crates/hibiscus-traffic/src/response.rs
+++ b/crates/hibiscus-traffic/src/response.rs
@@ -1,4 +1,5 @@
-//! Answers that this instance makes itself.
+//! HTTP responses that this instance creates itself instead of forwarding a
+//! backend server's response.
 
 use std::time::Duration;
 
@@ -11,76 +12,76 @@
 use crate::response_body::ResponseBody;
 use crate::wire_format::WireFormat;
 
-/// Part of the time until there is a chance over which returns are spread.
-const RETURN_SPREAD: f64 = 0.4;
-/// Longest time over which returns are spread.
-const SPREAD_LIMIT: Duration = Duration::from_secs(1);
-/// Least time that a caller is told to wait for a chance.
-const LEAST_RETURN: Duration = Duration::from_millis(50);
+/// Random delay added to `Retry-After`, as a fraction of it.
+const RETRY_JITTER_FRACTION: f64 = 0.4;
+/// Maximum random delay added to `Retry-After`.
+const RETRY_JITTER_LIMIT: Duration = Duration::from_secs(1);
+/// Minimum `Retry-After` when the time of recovery is known.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Why a request gets an answer of this instance.
+/// Why this instance responds to a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LocalReason {
-    /// No configuration is known yet.
+    /// This instance has no configuration yet.
     NoConfig,
-    /// The head cannot be understood.
+    /// The request's headers or body cannot be parsed.
     BadRequest,
-    /// The body is longer than allowed.
+    /// The body exceeds the configured size limit.
     BodyTooLong,
     /// The caller sent no known key.
     UnknownKey,
-    /// No route takes the path.
+    /// No route matches the host and path.
     UnknownRoute,
     /// The budget does not cover the request.
     BudgetSpent,
-    /// The budget may cover the request, but not from what is held here.
+    /// The tokens held here do not cover the request, but the budget may.
     BudgetUnconfirmed,
-    /// No server of the service can be used.
+    /// No server of the service is usable.
     NoServer,
     /// All servers that were tried refused the request.
     ServersFull,
-    /// All servers that serve want no requests for some time.
+    /// All serving servers have asked for a pause.
     ServersPausing,
-    /// The caller's time ran out before the request was sent.
-    TimeSpent,
-    /// The machine has no room for the body.
+    /// The request's deadline passed before it was sent to a server.
+    ExpiredBeforeSend,
+    /// This machine has no memory left for the body.
     Overloaded,
-    /// This instance is stopping.
-    Stopping,
-    /// Servers ended under the request one after the other. It was not sent
-    /// this time, and the caller must not repeat it.
-    EndsServers,
-    /// The request was sent and its outcome is not known.
-    Unknown,
-    /// The request was sent and its time ran out.
+    /// This instance is shutting down.
+    ShuttingDown,
+    /// Several servers crashed one after the other while they ran the request.
+    /// It was not sent this time, and the caller must not repeat it.
+    CrashesServers,
+    /// The request was sent, and its outcome is unknown.
+    OutcomeUnknown,
+    /// The request was sent, and its deadline passed.
     TimedOut,
 }
 
 impl LocalReason {
-    /// The status that tells it. Only reasons before the first byte to a
-    /// server, or after a server's own proof, map to 503.
+    /// HTTP status of the response. A reason maps to 503 only when no byte of
+    /// the request reached a server, or when a server proved not to have run it.
     pub fn status(self) -> StatusCode {
         match self {
-            Self::BadRequest | Self::EndsServers => StatusCode::BAD_REQUEST,
+            Self::BadRequest | Self::CrashesServers => StatusCode::BAD_REQUEST,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::UnknownRoute => StatusCode::NOT_FOUND,
             Self::BudgetSpent => StatusCode::PAYMENT_REQUIRED,
-            Self::Unknown => StatusCode::BAD_GATEWAY,
+            Self::OutcomeUnknown => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
             Self::NoConfig
             | Self::BudgetUnconfirmed
             | Self::NoServer
             | Self::ServersFull
             | Self::ServersPausing
-            | Self::TimeSpent
+            | Self::ExpiredBeforeSend
             | Self::Overloaded
-            | Self::Stopping => StatusCode::SERVICE_UNAVAILABLE,
+            | Self::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 
-    /// The word for logs, metrics and the answer's body.
-    pub fn word(self) -> &'static str {
+    /// Identifier for logs, metrics and the response body.
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::NoConfig => "no_configuration",
             Self::BadRequest => "bad_request",
@@ -92,16 +93,16 @@
             Self::NoServer => "no_server",
             Self::ServersFull => "servers_full",
             Self::ServersPausing => "servers_pausing",
-            Self::TimeSpent => "time_spent",
+            Self::ExpiredBeforeSend => "time_spent",
             Self::Overloaded => "overloaded",
-            Self::Stopping => "stopping",
-            Self::EndsServers => "ends_servers",
-            Self::Unknown => "outcome_unknown",
+            Self::ShuttingDown => "stopping",
+            Self::CrashesServers => "ends_servers",
+            Self::OutcomeUnknown => "outcome_unknown",
             Self::TimedOut => "timed_out",
         }
     }
 
-    /// When the caller may try again, for refusals that may end.
+    /// Default `Retry-After` of temporary refusals.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Self::NoConfig | Self::BudgetUnconfirmed | Self::Overloaded => {
@@ -110,86 +111,89 @@
             Self::NoServer | Self::ServersFull | Self::ServersPausing => {
                 Some(Duration::from_millis(200))
             }
-            Self::Stopping => Some(Duration::from_millis(10)),
+            Self::ShuttingDown => Some(Duration::from_millis(10)),
             _ => None,
         }
     }
 }
 
-/// A refusal of this instance.
+/// A request's refusal by this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalRefusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: LocalReason,
-    /// When there is a chance again, if that is known; else the usual time of
-    /// the reason.
-    pub chance: Option<Duration>,
+    /// Time until a retry may succeed. When unknown, the reason's default
+    /// `Retry-After` applies.
+    pub recovery: Option<Duration>,
 }
 
 impl From<LocalReason> for LocalRefusal {
     fn from(reason: LocalReason) -> Self {
         Self {
             reason,
-            chance: None,
+            recovery: None,
         }
     }
 }
 
 impl LocalRefusal {
-    /// When the caller may try again: not before there is a chance, and not
-    /// all callers at the same moment.
+    /// `Retry-After` of the response: at least the time until a retry may
+    /// succeed, plus a random delay that keeps callers from returning all at
+    /// once.
     pub fn retry_after(&self) -> Option<Duration> {
         let usual = self.reason.retry_after()?;
-        let after = self.chance.map_or(usual, |chance| chance.max(LEAST_RETURN));
-        let spread = after.mul_f64(RETURN_SPREAD).min(SPREAD_LIMIT);
-        Some(after + spread.mul_f64(fastrand::f64()))
+        let after = self
+            .recovery
+            .map_or(usual, |recovery| recovery.max(MIN_RETRY_AFTER));
+        let jitter = after.mul_f64(RETRY_JITTER_FRACTION).min(RETRY_JITTER_LIMIT);
+        Some(after + jitter.mul_f64(fastrand::f64()))
     }
 }
 
-/// The answer that tells `refusal` for the request `id`.
+/// Creates the response that reports `refusal` for the request `id`.
 pub fn local_response<D: WireFormat>(
-    dialect: &D,
+    format: &D,
     refusal: LocalRefusal,
     id: &str,
 ) -> Response<ResponseBody> {
     let reason = refusal.reason;
-    let body = Bytes::from_static(reason.word().as_bytes());
-    let mut answer = Response::new(ResponseBody::whole(body));
-    *answer.status_mut() = reason.status();
-    let headers = answer.headers_mut();
-    dialect.set_response_id(id, headers);
+    let body = Bytes::from_static(reason.as_str().as_bytes());
+    let mut response = Response::new(ResponseBody::whole(body));
+    *response.status_mut() = reason.status();
+    let headers = response.headers_mut();
+    format.set_response_id(id, headers);
     if let Some(after) = refusal.retry_after() {
         let after = format!("{:.3}", after.as_secs_f64());
         if let Ok(after) = HeaderValue::from_str(&after) {
             headers.insert(header::RETRY_AFTER, after);
         }
     }
-    if reason == LocalReason::Stopping {
+    if reason == LocalReason::ShuttingDown {
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
-/// An answer without a body.
+/// Creates a response without a body.
 pub fn status_response(status: StatusCode) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::Whole(None));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(ResponseBody::Whole(None));
+    *response.status_mut() = status;
+    response
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json_response(body: Vec<u8>) -> Response<ResponseBody> {
-    typed_answer(Bytes::from(body), "application/json")
+    typed_response(Bytes::from(body), "application/json")
 }
 
-/// An answer with a text body.
+/// Creates a response with a plain text body.
 pub fn text_response(body: String) -> Response<ResponseBody> {
-    typed_answer(Bytes::from(body), "text/plain; version=0.0.4")
+    typed_response(Bytes::from(body), "text/plain; version=0.0.4")
 }
 
-fn typed_answer(body: Bytes, kind: &'static str) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::whole(body));
+fn typed_response(body: Bytes, kind: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(body));
     let kind = HeaderValue::from_static(kind);
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    answer
+    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    response
 }
--- a/crates/hibiscus-traffic/src/response_body.rs
+++ b/crates/hibiscus-traffic/src/response_body.rs
@@ -1,4 +1,5 @@
-//! Bodies of answers: whole ones, and streams that pass as they arrive.
+//! Bodies of HTTP responses to callers: complete ones, and streams that are
+//! forwarded as they arrive.
 
 use std::fmt;
 use std::future::Future;
@@ -18,62 +19,64 @@
 use crate::in_flight::ResponseTracker;
 use crate::stream::EventParser;
 
-/// Time after the deadline within which what has arrived is passed on: an
-/// answer that is ready is delivered, also when it is late.
-const READY_TIME: Duration = Duration::from_millis(250);
-/// Bytes from the end of one event to the end of the next.
-const EVENT_LIMIT: usize = 256 * 1024;
+/// Time after the deadline during which bytes that have already arrived are
+/// still forwarded, so that a response that is ready is delivered although it
+/// is late.
+const LATE_DELIVERY_TIME: Duration = Duration::from_millis(250);
+/// Maximum size of one event, counted from the end of the event before it.
+const EVENT_LIMIT_BYTES: usize = 256 * 1024;
 
-/// The answer breaks off: the caller must see that it is not whole.
+/// Why a response body ends early. The caller's connection is closed, so that
+/// the caller sees an incomplete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFault {
-    /// The server broke off.
+    /// The server closed the connection or ended the body within an event.
     Broken,
-    /// An event's number does not follow the one before.
-    Disordered,
-    /// The request's time ran out.
+    /// An event is missing, repeated or out of order.
+    OutOfOrder,
+    /// The request's deadline passed.
     TimedOut,
-    /// The server sends bytes, and no event comes to its end.
-    Endless,
+    /// An event exceeds the size limit.
+    EventTooLong,
 }
 
 impl fmt::Display for BodyFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Broken => "the server broke the answer off",
-            Self::Disordered => "an event is missing or came twice",
-            Self::TimedOut => "the request's time ran out",
-            Self::Endless => "an event does not end",
+            Self::Broken => "the server ended the response early",
+            Self::OutOfOrder => "an event is missing or repeated",
+            Self::TimedOut => "the request's deadline passed",
+            Self::EventTooLong => "an event exceeds the size limit",
         })
     }
 }
 
 impl std::error::Error for BodyFault {}
 
-/// A stream on its way from a server to a caller. Dropping it before its end
-/// drops the server's connection.
+/// Forwards a stream of events from a server to a caller. Dropping it before the
+/// end of the stream closes the connection to the server.
 pub struct StreamForwarder {
     body: Incoming,
-    follower: EventParser,
+    parser: EventParser,
     deadline: Pin<Box<Sleep>>,
-    watcher: ResponseTracker,
+    tracker: ResponseTracker,
     ended: bool,
 }
 
 impl StreamForwarder {
-    /// Relays `body`, whose last event before it was `after`, until
-    /// `deadline`.
+    /// Forwards `body` until `deadline`. If `after` is given, the first event must
+    /// be the next one after that number.
     pub fn new(
         body: Incoming,
         after: Option<u64>,
         deadline: Sleep,
-        watcher: ResponseTracker,
+        tracker: ResponseTracker,
     ) -> Self {
         Self {
             body,
-            follower: EventParser::after(after),
+            parser: EventParser::after(after),
             deadline: Box::pin(deadline),
-            watcher,
+            tracker,
             ended: false,
         }
     }
@@ -81,7 +84,7 @@
     fn end(&mut self, fault: Option<BodyFault>) {
         if !self.ended {
             self.ended = true;
-            self.watcher.ended(fault);
+            self.tracker.record_end(fault);
         }
     }
 
@@ -100,8 +103,9 @@
             }
             return Poll::Pending;
         };
-        // A body that always has bytes never comes to the timer.
-        if Instant::now() > self.deadline.deadline() + READY_TIME {
+        // The timer is polled only while no bytes are available, so a body that
+        // always has bytes needs this check.
+        if Instant::now() > self.deadline.deadline() + LATE_DELIVERY_TIME {
             return self.fail(BodyFault::TimedOut);
         }
         match frame {
@@ -109,18 +113,18 @@
                 let Some(data) = frame.data_ref() else {
                     return Poll::Ready(Some(Ok(frame)));
                 };
-                let events = self.follower.take(data);
-                if self.follower.is_disordered() {
-                    return self.fail(BodyFault::Disordered);
+                let events = self.parser.feed(data);
+                if self.parser.is_out_of_order() {
+                    return self.fail(BodyFault::OutOfOrder);
                 }
-                if self.follower.bytes_since_event() > EVENT_LIMIT {
-                    return self.fail(BodyFault::Endless);
+                if self.parser.bytes_since_event() > EVENT_LIMIT_BYTES {
+                    return self.fail(BodyFault::EventTooLong);
                 }
-                self.watcher.passed(events);
+                self.tracker.record_events(events);
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(_broken)) => self.fail(BodyFault::Broken),
-            None if self.follower.is_at_boundary() => {
+            None if self.parser.is_at_boundary() => {
                 self.end(None);
                 Poll::Ready(None)
             }
@@ -132,21 +136,21 @@
 impl Drop for StreamForwarder {
     fn drop(&mut self) {
         if !self.ended {
-            self.watcher.left();
+            self.tracker.record_caller_left();
         }
     }
 }
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub enum ResponseBody {
-    /// All bytes are there.
+    /// A complete body; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// A stream.
+    /// A stream that is forwarded as it arrives.
     Stream(Box<StreamForwarder>),
 }
 
 impl ResponseBody {
-    /// A body of `bytes`.
+    /// Creates a complete body.
     pub fn whole(bytes: Bytes) -> Self {
         Self::Whole(Some(bytes))
     }
@@ -162,7 +166,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Stream(relay) => relay.poll_next(context),
+            Self::Stream(forwarder) => forwarder.poll_next(context),
         }
     }
 
@@ -176,7 +180,7 @@
                 let length = bytes.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(u64::try_from(length).unwrap_or(u64::MAX))
             }
-            Self::Stream(_relay) => SizeHint::default(),
+            Self::Stream(_forwarder) => SizeHint::default(),
         }
     }
 }
--- a/crates/hibiscus-traffic/src/send.rs
+++ b/crates/hibiscus-traffic/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one server and reads the head of its answer.
+//! Sends a request to one backend server and reads the head of its response.
 
 use std::fmt;
 use std::pin::pin;
@@ -25,192 +25,197 @@
 use crate::wire_format::ResponseHeaders;
 use crate::wire_format::WireFormat;
 
-/// New connections to servers for requests, by outcome.
+/// Metric name: new connections to servers for requests, by outcome.
 pub const SERVER_CONNECTIONS: &str = "hibiscus_server_connections_total";
 
-/// Time for a kept connection to take a request.
-const READY_LIMIT: Duration = Duration::from_millis(200);
+/// Timeout for an open connection to accept a request.
+const READY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time between two looks at whether a server is silent.
-const SILENCE_STEP: Duration = Duration::from_millis(100);
+/// Interval between checks whether a server is silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a server said first.
+/// A server's response whose head has arrived.
 #[derive(Debug)]
 pub struct ServerResponse {
-    /// Head and body.
-    pub answer: Response<Incoming>,
-    /// What the head says.
-    pub signs: ResponseHeaders,
-    /// The request at the server.
-    pub flight: InFlightRequest,
+    /// Head and unread body.
+    pub response: Response<Incoming>,
+    /// Parsed header fields.
+    pub headers: ResponseHeaders,
+    /// The request in flight at the server.
+    pub in_flight: InFlightRequest,
 }
 
-/// Why a request that was sent got no answer that is of use.
+/// Why a request that was sent got no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The connection ended before the head of the answer.
+    /// The connection closed before the head of the response arrived.
     Broken,
-    /// The connection ended, or time ran out, within the answer.
-    AnswerBroken,
-    /// The server sent nothing to anybody for long.
+    /// The connection closed, the deadline passed or the size limit was exceeded
+    /// while the response body was read.
+    ResponseBroken,
+    /// The server has sent nothing on any connection for some time.
     Silent,
-    /// The answer names another request.
+    /// The response has the id of another request.
     OtherRequest,
-    /// The answer is a success without a signature.
+    /// The response reports success but has no signature or no request id.
     Unsigned,
-    /// The answer promises that the request did not run, without proof.
+    /// The status promises that the request did not run, but the response lacks
+    /// the server's proof.
     Unproven,
-    /// The answer is the server's own failure.
+    /// The response has a server error status.
     ServerError,
 }
 
 impl FailureCause {
-    /// Whether the server may have ended.
-    pub fn is_broken(self) -> bool {
-        matches!(self, Self::Broken | Self::AnswerBroken)
+    /// Whether the server may have crashed.
+    pub fn may_be_crash(self) -> bool {
+        matches!(self, Self::Broken | Self::ResponseBroken)
     }
 }
 
 impl fmt::Display for FailureCause {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Broken => "the server broke the connection",
-            Self::AnswerBroken => "the answer broke off",
+            Self::Broken => "the server closed the connection",
+            Self::ResponseBroken => "the response is incomplete",
             Self::Silent => "the server is silent",
-            Self::OtherRequest => "the answer is for another request",
-            Self::Unsigned => "the answer is not signed",
+            Self::OtherRequest => "the response is for another request",
+            Self::Unsigned => "the response is not signed",
             Self::Unproven => "the server refused without proof",
-            Self::ServerError => "the server answered with a failure",
+            Self::ServerError => "the server responded with an error",
         })
     }
 }
 
-/// How sending ended.
+/// Outcome of sending a request.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The server answered for itself; it may have run the request.
-    Answered(Box<ServerResponse>),
+    /// The server responded; it may have run the request.
+    Responded(Box<ServerResponse>),
     /// No byte of the request reached a server.
     NotSent(ConnectFault),
     /// The server proved that it did not run the request.
     NotRun(StatusCode),
-    /// The request was sent; whether it ran is not known.
+    /// The request was sent; whether it ran is unknown.
     Unknown(FailureCause),
-    /// The time ran out after the request was sent.
+    /// The deadline passed after the request was sent.
     TimedOut,
-    /// The server wants no requests any more, so nothing was sent.
+    /// The server stopped taking requests in the meantime, so nothing was sent.
     Withdrawn,
 }
 
-/// How sending ended, and what else the server said.
+/// Outcome of sending a request, and whether the server is draining.
 #[derive(Debug)]
 pub struct SendReport {
-    /// How it ended.
+    /// Outcome of sending.
     pub outcome: SendOutcome,
-    /// Whether the server said that it leaves.
-    pub leaving: bool,
+    /// Whether the response says that the server is draining.
+    pub draining: bool,
 }
 
 impl From<SendOutcome> for SendReport {
     fn from(outcome: SendOutcome) -> Self {
         Self {
             outcome,
-            leaving: false,
+            draining: false,
         }
     }
 }
 
-/// A request as it goes to a server.
+/// A request to a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingRequest<'a> {
     /// The caller's method.
     pub method: &'a http::Method,
     /// The caller's path and query.
     pub target: &'a http::Uri,
-    /// The headers, those for this server included.
+    /// Header fields, including those for this server.
     pub headers: &'a HeaderMap,
     /// The caller's body.
     pub body: &'a Bytes,
-    /// The attempt's number, which the answer must bear.
+    /// Request id of this attempt, which the response must repeat.
     pub id: &'a str,
-    /// When waiting for the head of the answer ends.
-    pub until: Instant,
-    /// Whether another server may run it while this one may still do.
+    /// When waiting for the head of the response ends.
+    pub deadline: Instant,
+    /// Whether to give up on a silent server, although the request may still run
+    /// there while another server runs it.
     pub abandon_if_silent: bool,
 }
 
-/// Sends `outgoing` to the server of `flight`. One that is silent for long is
-/// given up only while `has_other` says that the request can go on elsewhere.
+/// Sends `outgoing` to the server of `in_flight`. Gives up on a silent server
+/// only if `has_other` returns that another server can take the request.
 pub async fn send<D: WireFormat>(
-    dialect: &D,
-    mut flight: InFlightRequest,
+    format: &D,
+    mut in_flight: InFlightRequest,
     outgoing: &OutgoingRequest<'_>,
     has_other: impl Fn() -> bool,
 ) -> SendReport {
-    let server = Rc::clone(flight.server());
+    let server = Rc::clone(in_flight.server());
     let server = &server;
-    let mut kept = take_kept(server).await;
-    let answer = loop {
-        let is_kept = kept.is_some();
-        let link = match obtain_link(server, kept.take()).await {
-            Ok(link) => link,
+    let mut idle = take_idle(server).await;
+    let response = loop {
+        let is_reused = idle.is_some();
+        let connection = match obtain_connection(server, idle.take()).await {
+            Ok(connection) => connection,
             Err(fault) => {
                 server.note_failed();
                 return SendOutcome::NotSent(fault).into();
             }
         };
-        // An answer to another request may have come while the connection opened.
-        if !flight.may_leave() {
-            server.park(link);
+        // A response to another request may have arrived while the connection
+        // opened, and the server may take no more requests.
+        if !in_flight.may_send() {
+            server.park(connection);
             return SendOutcome::Withdrawn.into();
         }
-        let link = flight.use_link(link);
-        match wait_for_head(link, server, outgoing, &has_other).await {
-            Ok(answer) => break answer,
-            // A kept connection that ended says nothing of the server now.
-            Err(SendOutcome::NotSent(_)) if is_kept => {}
+        let connection = in_flight.use_connection(connection);
+        match wait_for_head(connection, server, outgoing, &has_other).await {
+            Ok(response) => break response,
+            // A reused connection may have been closed long ago, which does not
+            // mean that the server refuses new ones.
+            Err(SendOutcome::NotSent(_)) if is_reused => {}
             Err(outcome) => return outcome.into(),
         }
     };
     server.note_heard();
-    let signs = dialect.parse_response_headers(answer.headers());
-    // Another server than the one meant says nothing of that one.
-    let meant = answer.status() != StatusCode::MISDIRECTED_REQUEST;
-    let leaving = signs.draining && meant;
-    let outcome = judge(answer, signs, flight, outgoing.id);
-    SendReport { outcome, leaving }
+    let headers = format.parse_response_headers(response.headers());
+    // A misdirected request reached another server than the intended one.
+    let is_intended = response.status() != StatusCode::MISDIRECTED_REQUEST;
+    let draining = headers.draining && is_intended;
+    let outcome = classify(response, headers, in_flight, outgoing.id);
+    SendReport { outcome, draining }
 }
 
-/// Sends on `link` and waits for the head of the answer.
+/// Sends on `connection` and waits for the head of the response.
 async fn wait_for_head(
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     server: &ServerHandle,
     outgoing: &OutgoingRequest<'_>,
     has_other: impl Fn() -> bool,
 ) -> Result<Response<Incoming>, SendOutcome> {
-    let head = link.head().clone();
+    let head = connection.head_counter().clone();
     head.begin();
-    let mut waited = pin!(exchange(link.sender(), outgoing));
+    let mut exchange = pin!(exchange(connection.sender(), outgoing));
     loop {
-        let left = outgoing.until.saturating_duration_since(Instant::now());
+        let time_left = outgoing.deadline.saturating_duration_since(Instant::now());
         let step = if outgoing.abandon_if_silent {
-            left.min(SILENCE_STEP)
+            time_left.min(SILENCE_CHECK_INTERVAL)
         } else {
-            left
+            time_left
         };
-        match tokio::time::timeout(step, waited.as_mut()).await {
-            Ok(Ok(answer)) => {
+        match tokio::time::timeout(step, exchange.as_mut()).await {
+            Ok(Ok(response)) => {
                 head.end();
-                return Ok(answer);
+                return Ok(response);
             }
-            Ok(Err(Exchange::NotSent)) => {
+            Ok(Err(ExchangeFault::NotSent)) => {
                 return Err(SendOutcome::NotSent(ConnectFault::Refused));
             }
-            Ok(Err(Exchange::Unknown)) => {
+            Ok(Err(ExchangeFault::Unknown)) => {
                 server.note_failed();
                 return Err(SendOutcome::Unknown(FailureCause::Broken));
             }
-            Err(_elapsed) if step == left => {
+            Err(_elapsed) if step == time_left => {
                 server.note_failed();
                 return Err(SendOutcome::TimedOut);
             }
@@ -223,54 +228,57 @@
     }
 }
 
-/// Decides what the head of an answer proves.
-fn judge(
-    answer: Response<Incoming>,
-    signs: ResponseHeaders,
-    mut flight: InFlightRequest,
+/// Determines from the head of a response whether the request may have run.
+fn classify(
+    response: Response<Incoming>,
+    headers: ResponseHeaders,
+    mut in_flight: InFlightRequest,
     id: &str,
 ) -> SendOutcome {
-    let server = Rc::clone(flight.server());
-    if let Some(load) = &signs.load {
+    let server = Rc::clone(in_flight.server());
+    if let Some(load) = &headers.load {
         server.note_load(load);
     }
-    let status = answer.status();
+    let status = response.status();
     if refuses(status) {
-        flight.note_refused(signs.pause);
+        in_flight.note_refused(headers.pause);
     } else {
-        flight.note_taken();
+        in_flight.note_accepted();
     }
-    let other = signs.id.as_ref().is_some_and(|answered| answered != id);
-    if other {
+    let is_other = headers
+        .id
+        .as_ref()
+        .is_some_and(|response_id| response_id != id);
+    if is_other {
         server.note_nothing();
         return SendOutcome::Unknown(FailureCause::OtherRequest);
     }
-    if signs.not_run || status == StatusCode::MISDIRECTED_REQUEST {
+    if headers.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         server.note_nothing();
         return SendOutcome::NotRun(status);
     }
-    if status.is_success() && (!signs.signed || (signs.id.is_none() && !id.is_empty())) {
+    if status.is_success() && (!headers.signed || (headers.id.is_none() && !id.is_empty())) {
         server.note_failed();
         return SendOutcome::Unknown(FailureCause::Unsigned);
     }
     if promises_not_run(status) {
-        // Only the server's own proof makes such a status true.
+        // Such a status is trusted only with the server's proof.
         server.note_failed();
         return SendOutcome::Unknown(FailureCause::Unproven);
     }
-    if let Some(limit) = idle_limit(answer.headers())
-        && let Some(link) = flight.link()
+    if let Some(timeout) = idle_timeout(response.headers())
+        && let Some(connection) = in_flight.connection()
     {
-        link.set_idle_limit(limit);
+        connection.set_idle_timeout(timeout);
     }
-    SendOutcome::Answered(Box::new(ServerResponse {
-        answer,
-        signs,
-        flight,
+    SendOutcome::Responded(Box::new(ServerResponse {
+        response,
+        headers,
+        in_flight,
     }))
 }
 
-/// Whether a server that answers with `status` turns the request away.
+/// Whether `status` means that the server refused the request.
 fn refuses(status: StatusCode) -> bool {
     matches!(
         status,
@@ -278,7 +286,7 @@
     )
 }
 
-/// Whether callers take `status` for a promise that the request did not run.
+/// Whether callers rely on `status` as a promise that the request did not run.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
@@ -288,53 +296,55 @@
     )
 }
 
-/// How sending on one connection failed.
-enum Exchange {
+/// Why sending on one connection failed.
+enum ExchangeFault {
+    /// No byte of the request was sent.
     NotSent,
+    /// The request may have arrived at the server.
     Unknown,
 }
 
-/// Sends on a connection; a request that never left it is not sent.
+/// Sends the request on a connection and waits for the head of the response.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     outgoing: &OutgoingRequest<'_>,
-) -> Result<Response<Incoming>, Exchange> {
-    let ready = tokio::time::timeout(READY_LIMIT, sender.ready()).await;
+) -> Result<Response<Incoming>, ExchangeFault> {
+    let ready = tokio::time::timeout(READY_TIMEOUT, sender.ready()).await;
     if !matches!(ready, Ok(Ok(()))) {
-        return Err(Exchange::NotSent);
+        return Err(ExchangeFault::NotSent);
     }
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.target.clone();
     *request.headers_mut() = outgoing.headers.clone();
     match sender.try_send_request(request).await {
-        Ok(answer) => Ok(answer),
+        Ok(response) => Ok(response),
         Err(mut error) => match error.take_message() {
-            Some(_unsent) => Err(Exchange::NotSent),
-            None => Err(Exchange::Unknown),
+            Some(_unsent) => Err(ExchangeFault::NotSent),
+            None => Err(ExchangeFault::Unknown),
         },
     }
 }
 
-/// A kept connection that has not ended by what has come on it so far.
-async fn take_kept(server: &ServerHandle) -> Option<ServerConnection> {
-    while let Some(link) = server.take_idle() {
-        // What has come for it, be it its end, is read before this goes on.
+/// Takes an idle connection that has not been closed by the server.
+async fn take_idle(server: &ServerHandle) -> Option<ServerConnection> {
+    while let Some(connection) = server.take_idle() {
+        // Lets the connection's task read pending bytes or the end of the stream.
         tokio::task::yield_now().await;
-        if link.is_usable() {
-            return Some(link);
+        if connection.is_usable() {
+            return Some(connection);
         }
     }
     None
 }
 
-/// The `kept` connection, or a new one.
-async fn obtain_link(
+/// Returns the `idle` connection, or opens a new one.
+async fn obtain_connection(
     server: &ServerHandle,
-    kept: Option<ServerConnection>,
+    idle: Option<ServerConnection>,
 ) -> Result<ServerConnection, ConnectFault> {
-    if let Some(link) = kept {
-        return Ok(link);
+    if let Some(connection) = idle {
+        return Ok(connection);
     }
     let opened = ServerConnection::open(server.entry.address).await;
     let outcome = match opened {
@@ -347,15 +357,17 @@
     opened
 }
 
-/// How long the server keeps the connection idle.
-fn idle_limit(headers: &HeaderMap) -> Option<Duration> {
+/// Timeout after which the server closes the connection when idle, from its
+/// `Keep-Alive` header.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let mut fields = value.split(',');
     let seconds = fields.find_map(|field| field.trim().strip_prefix("timeout="))?;
     Some(Duration::from_secs(seconds.trim().parse().ok()?))
 }
 
-/// Removes the headers that concern one connection, and those that name them.
+/// Removes hop-by-hop header fields: the standard ones and those that the
+/// `Connection` header lists.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named = headers.get_all(header::CONNECTION);
     let named: Vec<String> = named
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -216,7 +216,7 @@
         }
         link.park();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|ticket| self.idle_links.holds(*ticket));
+        idle.retain(|ticket| self.idle_links.contains(*ticket));
         if idle.len() < self.idle_limit.get() {
             idle.push(self.idle_links.put(link));
         }
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -406,7 +406,7 @@
     /// topic.
     pub fn relay_place(&self) -> usize {
         let directory = self.directory.borrow();
-        relays::place_of(&directory.own().name, directory.answering())
+        relays::place_of(&directory.own().name, directory.responding())
     }
 
     /// Ends callers' connections whose heads take too long.
--- a/crates/hibiscus-traffic/src/stream.rs
+++ b/crates/hibiscus-traffic/src/stream.rs
@@ -1,41 +1,42 @@
-//! Follows a series of events as its bytes pass.
+//! Parses the numbers of a stream of server-sent events while its bytes are
+//! forwarded.
 //!
-//! Lines are told apart without copying them: only the first bytes of a line
-//! are kept, which hold the field's name and an event's number.
+//! Lines are not copied whole: only the first bytes of a line are kept, which
+//! hold the field name and the event number.
 
-/// Bytes of a line that are kept: a field's name and a number fit.
-const KEPT_BYTES: usize = 32;
+/// Bytes of a line that are kept, enough for a field name and a number.
+const LINE_PREFIX_BYTES: usize = 32;
 
-/// What was seen of a series of events.
+/// Incremental parser of an event stream.
 #[derive(Clone, Debug)]
 pub struct EventParser {
     line: Vec<u8>,
-    /// Number in the event that is still incomplete.
+    /// Number of the event that is still incomplete.
     pending: Option<u64>,
     last: Option<u64>,
     events: u64,
-    /// Bytes since the last whole event.
+    /// Bytes since the last complete event.
     bytes: usize,
     at_boundary: bool,
-    disordered: bool,
+    out_of_order: bool,
 }
 
 impl Default for EventParser {
     fn default() -> Self {
         Self {
-            line: Vec::with_capacity(KEPT_BYTES),
+            line: Vec::with_capacity(LINE_PREFIX_BYTES),
             pending: None,
             last: None,
             events: 0,
             bytes: 0,
             at_boundary: true,
-            disordered: false,
+            out_of_order: false,
         }
     }
 }
 
 impl EventParser {
-    /// A series that goes on after the event `last`.
+    /// Creates a parser of a stream that continues after the event `last`.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             last,
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Takes the next bytes; returns the events that they completed.
-    pub fn take(&mut self, bytes: &[u8]) -> u64 {
+    /// Parses the next bytes and returns the number of events that they complete.
+    pub fn feed(&mut self, bytes: &[u8]) -> u64 {
         let before = self.events;
         for byte in bytes {
             self.bytes += 1;
@@ -56,34 +57,34 @@
                 continue;
             }
             self.at_boundary = false;
-            if self.line.len() < KEPT_BYTES {
+            if self.line.len() < LINE_PREFIX_BYTES {
                 self.line.push(*byte);
             }
         }
         self.events - before
     }
 
-    /// Bytes since the last whole event.
+    /// Bytes since the last complete event.
     pub fn bytes_since_event(&self) -> usize {
         self.bytes
     }
 
-    /// Whether the bytes so far end with a whole event.
+    /// Whether the bytes so far end with a complete event.
     pub fn is_at_boundary(&self) -> bool {
         self.at_boundary
     }
 
-    /// Whether an event's number did not follow the one before.
-    pub fn is_disordered(&self) -> bool {
-        self.disordered
+    /// Whether an event was missing, repeated or out of order.
+    pub fn is_out_of_order(&self) -> bool {
+        self.out_of_order
     }
 
-    /// Number of the last whole event.
+    /// Number of the last complete event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whole events so far.
+    /// Number of complete events so far.
     pub fn events(&self) -> u64 {
         self.events
     }
@@ -107,14 +108,14 @@
         let Some(number) = self.pending.take() else {
             return;
         };
-        self.disordered |= self.last.is_some_and(|last| number != last + 1);
+        self.out_of_order |= self.last.is_some_and(|last| number != last + 1);
         self.last = Some(number);
         self.events += 1;
         self.bytes = 0;
     }
 }
 
-/// The number in a line `id: N`.
+/// Parses the number in a line `id: N`.
 fn event_number(line: &[u8]) -> Option<u64> {
     let number = line.strip_prefix(b"id:")?;
     std::str::from_utf8(number).ok()?.trim().parse().ok()
--- a/crates/hibiscus-traffic/src/table.rs
+++ b/crates/hibiscus-traffic/src/table.rs
@@ -1,4 +1,4 @@
-//! Finds a request's route and team.
+//! Looks up the route and the team of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 use crate::model::RouteRule;
 use crate::model::TeamRule;
 
-/// One version of the configuration, indexed.
+/// Index of one version of the configuration.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     config: Arc<FleetConfig>,
-    /// Positions of each host's routes, longest prefix first.
+    /// Indices of each host's routes, longest path prefix first.
     hosts: HashMap<String, Vec<usize>>,
-    /// Positions of the teams by key.
+    /// Indices of the teams by key.
     keys: HashMap<String, usize>,
 }
 
@@ -27,9 +27,8 @@
         for (index, route) in config.routes.iter().enumerate() {
             hosts.entry(route.host.clone()).or_default().push(index);
         }
-        for positions in hosts.values_mut() {
-            positions
-                .sort_by_key(|index| std::cmp::Reverse(config.routes[*index].path_prefix.len()));
+        for indices in hosts.values_mut() {
+            indices.sort_by_key(|index| std::cmp::Reverse(config.routes[*index].path_prefix.len()));
         }
         let mut keys = HashMap::new();
         for (index, team) in config.teams.iter().enumerate() {
@@ -44,12 +43,13 @@
         }
     }
 
-    /// The configuration.
+    /// The indexed configuration.
     pub fn config(&self) -> &Arc<FleetConfig> {
         &self.config
     }
 
-    /// The route with the longest prefix of `path` at `host`.
+    /// Finds the route of `host` whose path prefix is the longest that matches
+    /// `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let host = host.split(':').next().unwrap_or(host);
         for index in self.hosts.get(host)? {
@@ -61,30 +61,30 @@
         None
     }
 
-    /// The team that holds `key`.
+    /// Finds the team that owns `key`.
     pub fn team(&self, key: &str) -> Option<&Arc<TeamRule>> {
         let index = self.keys.get(key)?;
         self.config.teams.get(*index)
     }
 
-    /// The engines of `service`, when it has any.
+    /// The engine parameters of `service`, if it runs on engines.
     pub fn engine(&self, service: &ServiceName) -> Option<&EngineShape> {
         self.config.engines.get(service)
     }
 }
 
-/// The service of `route` that the number `pick` falls to.
+/// Selects a service of `route` by weight; `pick` is a random number.
 pub fn pick_service(route: &RouteRule, pick: u32) -> Option<&ServiceName> {
     let total: u32 = route.services.iter().map(|share| share.weight).sum();
     if total == 0 {
         return route.services.first().map(|share| &share.service);
     }
-    let mut left = pick % total;
+    let mut remainder = pick % total;
     for share in &route.services {
-        if left < share.weight {
+        if remainder < share.weight {
             return Some(&share.service);
         }
-        left -= share.weight;
+        remainder -= share.weight;
     }
     None
 }
--- a/crates/hibiscus-traffic/src/traffic_metrics.rs
+++ b/crates/hibiscus-traffic/src/traffic_metrics.rs
@@ -1,7 +1,7 @@
-//! Counters and histograms of the request path.
+//! Counters, histograms and gauges of the request path.
 //!
-//! Handles are looked up once, so that an event costs no search by name. All
-//! labels have few values: a kind of request, an outcome, a reason, a phase.
+//! Metric handles are looked up once, so that recording needs no lookup by name.
+//! All labels have few values: a kind of request, an outcome, a reason, a phase.
 
 use std::time::Duration;
 
@@ -15,60 +15,66 @@
 use crate::model::RequestKind;
 use crate::response::LocalReason;
 
-/// Seconds from a request's arrival to the first event or byte of its answer.
+/// Metric name: seconds from the arrival of a request to the first event or byte
+/// of its response.
 pub const FIRST_EVENT: &str = "hibiscus_first_event_seconds";
-/// Seconds between two events of a stream.
+/// Metric name: seconds between two events of a stream.
 pub const EVENT_GAP: &str = "hibiscus_event_gap_seconds";
-/// Seconds from a request's arrival to the end of its answer.
+/// Metric name: seconds from the arrival of a request to the end of its response.
 pub const REQUEST_TIME: &str = "hibiscus_request_seconds";
-/// Requests by kind and outcome.
+/// Metric name: requests by kind and outcome.
 pub const REQUESTS: &str = "hibiscus_requests_total";
-/// Answers of this instance by reason.
+/// Metric name: local responses by reason.
 pub const OWN_ANSWERS: &str = "hibiscus_own_answers_total";
-/// Configuration versions that came into force, by source.
+/// Metric name: configuration versions that came into force, by source.
 pub const CONFIG_VERSIONS: &str = "hibiscus_config_versions_total";
-/// Sends beyond the first of a request.
+/// Metric name: retries, which are sends of a request after its first.
 pub const RETRIES: &str = "hibiscus_retries_total";
 
-/// Seconds by which the traffic thread's timer was late.
+/// Metric name: seconds by which the traffic thread's timer was late.
 pub const TIMER_LATENESS: &str = "hibiscus_timer_lateness_seconds";
 
-/// Bounds of [`FIRST_EVENT`] and [`REQUEST_TIME`], in seconds: objectives are
-/// 0.1 to 1.5 s, deadlines up to 15 s.
+/// Histogram bucket bounds of [`FIRST_EVENT`] and [`REQUEST_TIME`], in seconds.
+/// Latency objectives are 0.1 to 1.5 s, deadlines up to 15 s.
 pub const TIME_BOUNDS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 5.0, 15.0];
-/// Bounds of [`EVENT_GAP`], in seconds: 47 ms are the aim, 250 ms the limit of
-/// the first users.
+/// Histogram bucket bounds of [`EVENT_GAP`], in seconds. The first users aim for
+/// 47 ms and accept at most 250 ms.
 pub const GAP_BOUNDS: [f64; 7] = [0.01, 0.025, 0.047, 0.1, 0.25, 0.5, 2.0];
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A server's answer passed whole.
-    Passed,
-    /// A server's answer broke off.
+    /// A server's response was forwarded completely.
+    Forwarded,
+    /// A server's response ended early.
     Broken,
-    /// The caller left before the end.
-    Left,
-    /// This instance answered itself.
-    Own,
+    /// The caller closed the connection before the end of the response.
+    CallerLeft,
+    /// This instance created the response itself.
+    LocalResponse,
 }
 
 impl RequestOutcome {
-    /// All outcomes.
-    const ALL: [Self; 4] = [Self::Passed, Self::Broken, Self::Left, Self::Own];
-
-    /// The value of the label.
-    fn word(self) -> &'static str {
+    /// All outcomes, in the order of their discriminants.
+    const ALL: [Self; 4] = [
+        Self::Forwarded,
+        Self::Broken,
+        Self::CallerLeft,
+        Self::LocalResponse,
+    ];
+
+    /// Value of the `outcome` label.
+    fn label(self) -> &'static str {
         match self {
-            Self::Passed => "passed",
+            Self::Forwarded => "passed",
             Self::Broken => "broken",
-            Self::Left => "caller_left",
-            Self::Own => "own_answer",
+            Self::CallerLeft => "caller_left",
+            Self::LocalResponse => "own_answer",
         }
     }
 }
 
-/// Handles of one kind of request.
+/// Metric handles of one kind of request.
 #[derive(Debug)]
 struct KindMetrics {
     first_event: Histogram,
@@ -78,7 +84,7 @@
 
 impl KindMetrics {
     fn new(kind: &'static str) -> Self {
-        let outcome = |outcome: RequestOutcome| counter!(REQUESTS, "kind" => kind, "outcome" => outcome.word());
+        let outcome = |outcome: RequestOutcome| counter!(REQUESTS, "kind" => kind, "outcome" => outcome.label());
         Self {
             first_event: histogram!(FIRST_EVENT, "kind" => kind),
             total: histogram!(REQUEST_TIME, "kind" => kind),
@@ -87,13 +93,14 @@
     }
 }
 
-/// Handles of the request path.
+/// Metric handles of the request path.
 #[derive(Debug)]
 pub struct TrafficMetrics {
     kinds: [KindMetrics; 4],
+    /// Requests that matched no route.
     unknown: KindMetrics,
-    gap: Histogram,
-    lateness: Histogram,
+    event_gap: Histogram,
+    timer_lateness: Histogram,
     retries: Counter,
 }
 
@@ -107,53 +114,53 @@
                 KindMetrics::new("resumable_stream"),
             ],
             unknown: KindMetrics::new("unknown"),
-            gap: histogram!(EVENT_GAP),
-            lateness: histogram!(TIMER_LATENESS),
+            event_gap: histogram!(EVENT_GAP),
+            timer_lateness: histogram!(TIMER_LATENESS),
             retries: counter!(RETRIES),
         }
     }
 }
 
 impl TrafficMetrics {
-    /// The first event or byte of an answer came `after` its request.
+    /// Records the time from a request to the first event or byte of its response.
     pub fn record_first_event(&self, kind: RequestKind, after: Duration) {
-        self.of(Some(kind)).first_event.record(after);
+        self.kind_metrics(Some(kind)).first_event.record(after);
     }
 
-    /// An event came `after` the one before it.
+    /// Records the time between two events of a stream.
     pub fn record_event_gap(&self, after: Duration) {
-        self.gap.record(after);
+        self.event_gap.record(after);
     }
 
-    /// The timer was late by `delay`.
+    /// Records that the timer was late by `delay`.
     pub fn record_timer_delay(&self, delay: Duration) {
-        self.lateness.record(delay);
+        self.timer_lateness.record(delay);
     }
 
-    /// A request ended `after` it arrived; its kind is not known when no route
-    /// took it.
+    /// Records the outcome of a request and the time since its arrival. `kind` is
+    /// `None` if no route matched.
     pub fn record_request_end(
         &self,
         kind: Option<RequestKind>,
         outcome: RequestOutcome,
         after: Duration,
     ) {
-        let measures = self.of(kind);
-        measures.total.record(after);
-        measures.outcomes[outcome as usize].increment(1);
+        let metrics = self.kind_metrics(kind);
+        metrics.total.record(after);
+        metrics.outcomes[outcome as usize].increment(1);
     }
 
-    /// A request is sent once more.
+    /// Counts a retry.
     pub fn count_retry(&self) {
         self.retries.increment(1);
     }
 
-    /// This instance answered itself.
+    /// Counts a local response.
     pub fn count_local_response(&self, reason: LocalReason) {
-        counter!(OWN_ANSWERS, "reason" => reason.word()).increment(1);
+        counter!(OWN_ANSWERS, "reason" => reason.as_str()).increment(1);
     }
 
-    fn of(&self, kind: Option<RequestKind>) -> &KindMetrics {
+    fn kind_metrics(&self, kind: Option<RequestKind>) -> &KindMetrics {
         match kind {
             None => &self.unknown,
             Some(RequestKind::Idempotent) => &self.kinds[0],
@@ -164,50 +171,50 @@
     }
 }
 
-/// What is the case at one moment.
+/// Values of the gauges at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrafficGauges {
     /// Requests in progress.
     pub in_progress: usize,
-    /// Callers' connections.
+    /// Open connections of callers.
     pub connections: usize,
-    /// Instances that answer, this one included.
+    /// Instances that respond, including this one.
     pub instances: u32,
     /// Version of the configuration in force, 0 before the first.
     pub config_version: u64,
-    /// Time since it came into force.
+    /// Time since the configuration came into force.
     pub config_age: Duration,
-    /// Servers that take requests, and servers that are leaving.
+    /// Numbers of serving servers and of draining servers.
     pub servers: (usize, usize),
-    /// Servers with work that have been silent.
+    /// Servers with requests in flight that are silent.
     pub silent_servers: usize,
     /// Retries that may be sent now, over all services.
     pub retries_left: f64,
-    /// Tokens over all budgets: held here and free to spend, reserved by
-    /// requests in progress, spent since the start.
+    /// Tokens over all budgets: held here and not reserved, reserved by requests
+    /// in progress, and spent since the start.
     pub tokens: (u64, u64, u64),
     /// Tokens that may still be granted, over all budgets.
     pub tokens_free: u64,
-    /// Whether callers are told of this instance.
+    /// Whether this instance is ready, so that its address is given to callers.
     pub ready: bool,
-    /// What the process uses.
+    /// Resource use of the process.
     pub used: MachineUse,
-    /// Bytes of callers' bodies.
+    /// Bytes of request bodies in memory.
     pub body_bytes: usize,
     /// Idle connections to servers.
     pub idle_links: usize,
     /// Accounts over all budgets and holders.
     pub accounts: usize,
-    /// Records of the account stream that are not folded yet.
+    /// Records of the account stream that are not applied yet.
     pub account_lag: u64,
 }
 
 impl TrafficGauges {
-    /// Shows the levels on the metrics' address.
+    /// Sets the gauges to these values.
     pub fn publish(&self) {
-        let (serving, leaving) = self.servers;
+        let (serving, draining) = self.servers;
         let (held, reserved, spent) = self.tokens;
-        let levels = [
+        let gauges = [
             ("hibiscus_requests_in_progress", self.in_progress as f64),
             ("hibiscus_caller_connections", self.connections as f64),
             ("hibiscus_instances_answering", f64::from(self.instances)),
@@ -229,12 +236,12 @@
             ("hibiscus_accounts", self.accounts as f64),
             ("hibiscus_account_lag_records", self.account_lag as f64),
         ];
-        for (name, level) in levels {
-            gauge!(name).set(level);
+        for (name, value) in gauges {
+            gauge!(name).set(value);
         }
         let servers = [
             ("serving", serving),
-            ("leaving", leaving),
+            ("leaving", draining),
             ("silent", self.silent_servers),
         ];
         for (state, count) in servers {
--- a/crates/hibiscus-traffic/src/wire_format.rs
+++ b/crates/hibiscus-traffic/src/wire_format.rs
@@ -1,4 +1,4 @@
-//! How requests and answers are spelled.
+//! Header format of requests and responses on the wire.
 
 use std::time::Duration;
 
@@ -9,85 +9,85 @@
 use crate::model::PromptPart;
 use crate::model::ServerLoadReport;
 
-/// What a caller says in the head of a request.
+/// Header fields of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHeaders {
-    /// The attempt's number; empty when the caller sent none.
+    /// Request id of this attempt; empty when the caller sent none.
     pub id: String,
     /// The caller's key.
     pub key: Option<String>,
-    /// Time that the caller will wait.
+    /// How long the caller waits for the response.
     pub deadline: Option<Duration>,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// The most tokens of the answer.
+    /// Maximum number of output tokens.
     pub output_tokens: u64,
-    /// The prompt's parts in order; the last is the request's own.
+    /// Parts of the prompt in order; the last belongs to this request only.
     pub parts: Vec<PromptPart>,
-    /// Number of the last event that the caller has.
+    /// Number of the last event that the caller received.
     pub resume_after: Option<u64>,
 }
 
-/// What cannot be understood in a request's head.
+/// A header field of a request that cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderFault {
     /// The token counts.
     TokenCounts,
-    /// The prompt's parts.
+    /// The parts of the prompt.
     PromptParts,
 }
 
-/// What a server is told beside the caller's own headers.
+/// Header fields that are added to a request to a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerHeaders<'a> {
-    /// The server that is meant; any other refuses.
+    /// The intended server; any other server refuses the request.
     pub server: &'a ServerName,
     /// The team that pays.
     pub team: Option<&'a TeamName>,
-    /// Time that is left.
+    /// Time until the request's deadline.
     pub time_left: Duration,
     /// 0 is the most urgent.
     pub urgency: u8,
-    /// Number of the last event that the caller has, when the answer is
-    /// continued.
+    /// Number of the last event that the caller received, when the response
+    /// resumes a stream.
     pub resume_after: Option<u64>,
 }
 
-/// What a server says in the head of its answer.
+/// Header fields of a backend server's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHeaders {
-    /// The request that it answers.
+    /// Id of the request that the response belongs to.
     pub id: Option<String>,
-    /// Whether the answer bears a server's signature.
+    /// Whether the response has a server's signature.
     pub signed: bool,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Its load.
+    /// Load of the server.
     pub load: Option<ServerLoadReport>,
-    /// Whether it leaves and takes no new requests.
+    /// Whether the server is draining and takes no new requests.
     pub draining: bool,
-    /// Time for which it wants no request, if it refuses this one.
+    /// How long a server that refuses this request wants no others.
     pub pause: Option<Duration>,
 }
 
-/// Spells requests and answers.
+/// Parses and writes the header fields of requests and responses.
 pub trait WireFormat: 'static {
-    /// Reads a request's head.
+    /// Parses the header fields of a caller's request.
     ///
     /// # Errors
     ///
-    /// Fails when a header that the request needs cannot be understood.
+    /// Fails when a required header field cannot be parsed.
     fn parse_caller_headers(&self, headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault>;
 
-    /// Removes headers that only the fleet may set.
+    /// Removes header fields that only the fleet may set.
     fn strip_internal_headers(&self, headers: &mut HeaderMap);
 
-    /// Sets what a server is told.
-    fn set_server_headers(&self, signs: &ServerHeaders<'_>, headers: &mut HeaderMap);
+    /// Sets the header fields for a backend server.
+    fn set_server_headers(&self, server_headers: &ServerHeaders<'_>, headers: &mut HeaderMap);
 
-    /// Reads an answer's head.
+    /// Parses the header fields of a server's response.
     fn parse_response_headers(&self, headers: &HeaderMap) -> ResponseHeaders;
 
-    /// Names the request that an own answer is for.
+    /// Sets the request id in the header fields of a local response.
     fn set_response_id(&self, id: &str, headers: &mut HeaderMap);
 }
--- a/crates/hibiscus-traffic/tests/callers.rs
+++ b/crates/hibiscus-traffic/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections and what they may take.
+//! Limits on callers' connections and request bodies.
 
 use std::future::Future;
 use std::pin::pin;
@@ -23,27 +23,27 @@
     body_bytes: 1_000,
 };
 
-/// Whether the connection was told to end.
-fn is_ended(connection: &CallerConnection) -> bool {
-    let mut ended = pin!(connection.ended());
+/// Whether the registry closes the connection.
+fn is_closing(connection: &CallerConnection) -> bool {
+    let mut closed = pin!(connection.close_requested());
     let mut context = Context::from_waker(Waker::noop());
-    matches!(ended.as_mut().poll(&mut context), Poll::Ready(()))
+    matches!(closed.as_mut().poll(&mut context), Poll::Ready(()))
 }
 
 #[test]
-fn the_connection_that_was_idle_for_longest_makes_room() {
+fn a_new_connection_closes_the_one_that_has_been_idle_longest() {
     let registry = CallerRegistry::new(BOUNDS);
     let busy = registry.open().expect("there is room");
     let _request = busy.begin_request();
     let longest = registry.open().expect("there is room");
     thread::sleep(Duration::from_millis(2));
     let shorter = registry.open().expect("there is room");
-    let newest = registry.open().expect("an idle one makes room");
-    assert!(is_ended(&longest));
-    assert_eq!(longest.closing(), Some(CloseReason::Room));
+    let newest = registry.open().expect("an idle connection makes room");
+    assert!(is_closing(&longest));
+    assert_eq!(longest.close_reason(), Some(CloseReason::Room));
     for other in [&busy, &shorter, &newest] {
-        assert!(!is_ended(other));
-        assert_eq!(other.closing(), None);
+        assert!(!is_closing(other));
+        assert_eq!(other.close_reason(), None);
     }
     drop(longest);
     assert_eq!(registry.len(), 3);
@@ -55,13 +55,13 @@
     let open: Vec<_> = (0..3).filter_map(|_number| registry.open()).collect();
     let requests: Vec<_> = open.iter().map(CallerConnection::begin_request).collect();
     assert!(registry.open().is_none());
-    assert!(!open.iter().any(is_ended));
+    assert!(!open.iter().any(is_closing));
     drop(requests);
     assert!(registry.open().is_some());
 }
 
 #[test]
-fn a_connection_with_a_second_request_is_busy_until_both_have_passed() {
+fn a_connection_with_two_requests_is_busy_until_both_have_ended() {
     let registry = CallerRegistry::new(CallerBounds {
         connections: 1,
         ..BOUNDS
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn bodies_together_stay_within_their_bound() {
+fn all_bodies_together_stay_within_their_limit() {
     let registry = CallerRegistry::new(BOUNDS);
     let mut first = registry.begin_body();
     assert!(first.grow(900));
@@ -95,32 +95,34 @@
     runtime.block_on(work)
 }
 
-// Guards against a connection that is dropped 200 ms after it was told to end,
-// with a request on it whose head was read in the same moment.
+// Guards against dropping a closing connection after 200 ms although the head of a
+// request was read at the same moment as it began to close.
 #[test]
-fn a_request_that_begins_while_its_connection_is_told_to_end_gets_its_answer() {
+fn a_request_that_begins_as_its_connection_closes_gets_its_response() {
     let registry = CallerRegistry::new(BOUNDS);
     let caller = registry.open().expect("there is room");
     let request = caller.begin_request();
     let connection = async {
-        // Longer than the last bytes of a connection without a request take.
+        // Longer than a connection without a request may take for its last bytes.
         tokio::time::sleep(Duration::from_millis(700)).await;
         drop(request);
     };
     assert!(run(caller.finish(connection)));
 }
 
-// Guards against a caller that reads nothing and keeps its connection for ever.
+// Guards against a caller that reads nothing and so keeps its connection open
+// forever.
 #[test]
-fn a_connection_without_a_request_that_was_told_to_end_is_cut() {
+fn a_closing_connection_without_a_request_is_dropped() {
     let registry = CallerRegistry::new(BOUNDS);
     let caller = registry.open().expect("there is room");
     assert!(!run(caller.finish(std::future::pending::<()>())));
 }
 
-// Guards against a caller that keeps its connection after its request has passed.
+// Guards against a caller that keeps a closing connection open after its request
+// has ended.
 #[test]
-fn a_connection_whose_request_has_passed_is_cut_soon_after() {
+fn a_closing_connection_is_dropped_soon_after_its_request_has_ended() {
     let registry = CallerRegistry::new(BOUNDS);
     let caller = registry.open().expect("there is room");
     let request = caller.begin_request();
@@ -132,7 +134,7 @@
     assert!(!run(caller.finish(connection)));
 }
 
-/// A connection over loopback: what the caller holds, and what is served.
+/// Opens a loopback connection. Returns the caller's end and the served end.
 async fn connected() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -141,47 +143,48 @@
     (caller, served)
 }
 
-/// Sends `bytes` and reads them where they are served.
-async fn pass(caller: &mut TcpStream, served: &mut WatchedStream, bytes: &[u8]) {
+/// Sends `bytes` from the caller and reads them at the served end.
+async fn transmit(caller: &mut TcpStream, served: &mut WatchedStream, bytes: &[u8]) {
     caller.write_all(bytes).await.expect("an open connection");
     let mut read = vec![0; bytes.len()];
     served.read_exact(&mut read).await.expect("the bytes");
 }
 
-// Guards against the end of a healthy connection 3 s after a refusal, with the
-// request that arrives on it then.
+// Guards against closing a healthy connection 3 s after a refusal, along with a
+// request that arrives on it at that moment.
 #[test]
-fn the_rest_of_a_refused_request_does_not_begin_a_head() {
+fn the_body_of_a_refused_request_does_not_count_as_a_head() {
     run(async {
         let registry = CallerRegistry::new(BOUNDS);
         let connection = registry.open().expect("there is room");
         let (mut caller, served) = connected().await;
         let mut served = connection.watch(served);
-        pass(&mut caller, &mut served, b"head").await;
+        transmit(&mut caller, &mut served, b"head").await;
         drop(connection.begin_request());
-        pass(&mut caller, &mut served, b"body").await;
+        transmit(&mut caller, &mut served, b"body").await;
         assert_eq!(registry.close_slow_heads(Duration::ZERO), 0);
     });
 }
 
-// Guards against a slow head that is not seen after a refusal.
+// Guards against a slow head that is not detected after a refusal.
 #[test]
-fn a_head_that_arrives_in_pieces_is_seen_after_a_refused_request() {
+fn a_head_that_arrives_in_pieces_is_detected_after_a_refused_request() {
     run(async {
         let registry = CallerRegistry::new(BOUNDS);
         let connection = registry.open().expect("there is room");
         let (mut caller, served) = connected().await;
         let mut served = connection.watch(served);
         drop(connection.begin_request());
-        pass(&mut caller, &mut served, b"body").await;
-        pass(&mut caller, &mut served, b"he").await;
+        transmit(&mut caller, &mut served, b"body").await;
+        transmit(&mut caller, &mut served, b"he").await;
         assert_eq!(registry.close_slow_heads(Duration::ZERO), 1);
     });
 }
 
-// Guards against a slow head that is not seen after a request that was read.
+// Guards against a slow head that is not detected after a request whose body was
+// read.
 #[test]
-fn a_head_is_seen_from_its_first_byte_after_a_request_that_was_read() {
+fn a_head_is_detected_from_its_first_byte_after_a_request_whose_body_was_read() {
     run(async {
         let registry = CallerRegistry::new(BOUNDS);
         let connection = registry.open().expect("there is room");
@@ -190,7 +193,7 @@
         let request = connection.begin_request();
         request.note_body_read();
         drop(request);
-        pass(&mut caller, &mut served, b"he").await;
+        transmit(&mut caller, &mut served, b"he").await;
         assert_eq!(registry.close_slow_heads(Duration::ZERO), 1);
     });
 }
--- a/crates/hibiscus-traffic/tests/members.rs
+++ b/crates/hibiscus-traffic/tests/members.rs
@@ -1,4 +1,4 @@
-//! What an instance does about the others, in fleets of any size.
+//! Monitoring of other instances in small and large fleets.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use hibiscus_traffic::model::InstanceEntry;
 use hibiscus_types::IncarnationId;
 
-/// Instances of the larger fleet.
+/// Number of instances in the large fleet.
 const FLEET: u16 = 62;
 
 fn instance(number: u16, incarnation: u128) -> InstanceEntry {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The directory of the instance `number` of a fleet of `count`.
+/// The directory of instance `number` in a fleet of `count` instances.
 fn directory(number: u16, count: u16) -> InstanceDirectory {
     let mut directory = InstanceDirectory::new(instance(number, 1));
     directory.set_ready(true);
@@ -37,10 +37,10 @@
     directory
 }
 
-/// Guards against 152 questions a second of each of 62 instances, and as many
-/// to each, which their machines cannot afford.
+/// Guards against each of 62 instances sending and receiving 152 peer requests a
+/// second, which is too much for their machines.
 #[test]
-fn an_instance_of_a_large_fleet_asks_few_others() {
+fn an_instance_of_a_large_fleet_monitors_few_others() {
     let rings = usize::try_from(RING_COUNT).expect("small");
     let mut monitored = BTreeSet::new();
     for number in 0..FLEET {
@@ -52,9 +52,10 @@
     assert_eq!(monitored.len(), usize::from(FLEET));
 }
 
-/// Guards against a small fleet whose instances wait for others to tell.
+/// Guards against instances of a small fleet that wait for reports of others
+/// instead of monitoring all of them.
 #[test]
-fn an_instance_of_a_small_fleet_asks_all_others() {
+fn an_instance_of_a_small_fleet_monitors_all_others() {
     let count = u16::try_from(FULL_WATCH_LIMIT + 1).expect("small");
     let mut directory = directory(0, count);
     assert_eq!(directory.monitored().len(), FULL_WATCH_LIMIT);
@@ -64,9 +65,10 @@
     assert!(!directory.has_updates());
 }
 
-/// Guards against callers that are told of few instances until all were asked.
+/// Guards against giving callers few addresses until all instances have been
+/// monitored.
 #[test]
-fn instances_of_a_large_fleet_serve_until_a_watcher_says_else() {
+fn instances_of_a_large_fleet_count_as_serving_until_a_monitor_reports_otherwise() {
     let mut directory = directory(0, FLEET);
     assert_eq!(directory.live_count(), u32::from(FLEET));
     assert_eq!(directory.peer_addresses().len(), usize::from(FLEET) - 1);
@@ -80,10 +82,10 @@
     assert!(directory.has_updates());
 }
 
-/// Guards against a remembered order that outlives the instances it was made
-/// of: two keepers of a budget, or none.
+/// Guards against a cached rank that is kept after the set of responding instances
+/// has changed. A budget would then have two responsible instances, or none.
 #[test]
-fn each_subject_has_one_first_instance_after_a_death_and_a_return() {
+fn each_subject_has_one_first_instance_after_an_instance_fails_and_returns() {
     let subjects = ["b0", "b1", "b2", "b3", "b4", "b5", "b6", "b7"];
     let count = 5;
     let mut directories: Vec<InstanceDirectory> =
@@ -103,9 +105,10 @@
     }
 }
 
-/// Guards against a list of accepted processes that grows with each restart.
+/// Guards against a list of accepted certificate pins that grows with each
+/// restart.
 #[test]
-fn the_pin_of_a_replaced_process_is_handed_out_for_removal() {
+fn the_pin_of_a_replaced_process_is_returned_for_removal() {
     let mut directory = directory(0, 3);
     assert!(directory.take_replaced_pins().is_empty());
     directory.announce(instance(1, 2));
--- a/crates/hibiscus-traffic/tests/parts.rs
+++ b/crates/hibiscus-traffic/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Small parts of the request path: streams, retries, routes, addresses.
+//! Small parts of the request path: event streams, retries, routes and addresses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,37 +21,38 @@
 use hibiscus_types::ServiceName;
 
 #[test]
-fn events_are_counted_however_their_bytes_are_cut() {
+fn events_are_counted_however_their_bytes_are_split() {
     let bytes = b"id: 1\ndata: x\n\nid: 2\r\ndata: y\r\n\r\n: note\n\nid: 3\n\n";
     for size in [1, 2, 7, bytes.len()] {
-        let mut follower = EventParser::default();
+        let mut parser = EventParser::default();
         for piece in bytes.chunks(size) {
-            follower.take(piece);
+            parser.feed(piece);
         }
-        assert_eq!(follower.events(), 3, "pieces of {size}");
-        assert_eq!(follower.last(), Some(3));
-        assert!(follower.is_at_boundary() && !follower.is_disordered());
+        assert_eq!(parser.events(), 3, "pieces of {size}");
+        assert_eq!(parser.last(), Some(3));
+        assert!(parser.is_at_boundary() && !parser.is_out_of_order());
     }
 }
 
 #[test]
-fn a_missing_a_repeated_and_a_cut_event_show() {
+fn missing_repeated_and_incomplete_events_are_detected() {
     let mut gap = EventParser::default();
-    gap.take(b"id: 1\n\nid: 3\n\n");
-    assert!(gap.is_disordered());
+    gap.feed(b"id: 1\n\nid: 3\n\n");
+    assert!(gap.is_out_of_order());
     let mut twice = EventParser::default();
-    twice.take(b"id: 1\n\nid: 1\n\n");
-    assert!(twice.is_disordered());
+    twice.feed(b"id: 1\n\nid: 1\n\n");
+    assert!(twice.is_out_of_order());
     let mut after = EventParser::after(Some(4));
-    after.take(b"id: 1\n\n");
-    assert!(after.is_disordered());
+    after.feed(b"id: 1\n\n");
+    assert!(after.is_out_of_order());
     let mut cut = EventParser::default();
-    cut.take(b"id: 1\n\nid: 2\nda");
+    cut.feed(b"id: 1\n\nid: 2\nda");
     assert!(!cut.is_at_boundary());
 }
 
-/// A third of the servers fail, and callers repeat at once: over any window,
-/// all instances together stay within the bound, also when none sees another.
+/// A third of the servers fail, and callers repeat their requests at once. In any
+/// window, all instances together stay within the bound on retries, even if no
+/// instance can reach another.
 #[test]
 fn retries_of_a_fleet_stay_within_the_bound_in_every_window() {
     let bound = RetryBound {
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_matching_path_prefix_of_the_host_is_used() {
     let table = table();
     let name = |path: &str| {
         table
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn a_route_splits_its_requests_by_weight() {
+fn a_route_splits_its_requests_between_services_by_weight() {
     let rule = route("/a/", &[("one", 90), ("two", 10)]);
     let to_two = (0..1_000).filter(|pick| table::pick_service(&rule, *pick) == Some(&"two".into()));
     assert_eq!(to_two.count(), 100);
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn addresses_name_who_serves_and_are_never_none() {
+fn addresses_list_serving_instances_and_are_never_empty() {
     let mut directory = InstanceDirectory::new(instance(0, 1));
     assert_eq!(directory.addresses(None), [instance(0, 1).callers]);
     directory.set_ready(true);
@@ -182,7 +183,7 @@
     assert_eq!(directory.addresses(None).len(), 1);
     directory.note_reachable(&other, true);
     assert_eq!(directory.addresses(None).len(), 2);
-    // An old process of the same instance neither returns nor speaks for it.
+    // An announcement or a report of a replaced process is ignored.
     let successor = instance(1, 2);
     assert!(directory.announce(successor.clone()));
     assert!(!directory.announce(other.clone()));
@@ -211,10 +212,10 @@
     assert!(addresses[..2].iter().all(|address| near.contains(address)));
 }
 
-/// A process takes the order of its name from the time of day, which may be
-/// set back while its machine restarts it.
+/// Incarnation ids are ordered by the time of day, which may be set back while the
+/// machine restarts the process.
 #[test]
-fn a_process_that_started_after_its_clock_was_set_back_is_known() {
+fn a_process_that_started_after_its_clock_was_set_back_replaces_the_old_one() {
     let mut directory = InstanceDirectory::new(instance(0, 1));
     directory.set_ready(true);
     directory.announce(InstanceEntry {
@@ -229,10 +230,10 @@
     assert!(directory.is_current(&successor));
 }
 
-/// Instances on both sides of a cut send retries: each must keep to a share
-/// that leaves room for those it cannot see.
+/// Instances on both sides of a network partition send retries. Each must stay
+/// within a share that leaves room for the instances that it cannot reach.
 #[test]
-fn instances_that_do_not_answer_still_count_for_the_share_of_retries() {
+fn unresponsive_instances_still_count_for_the_share_of_retries() {
     let mut directory = InstanceDirectory::new(instance(0, 1));
     for number in 1..7 {
         let other = instance(number, 1);
@@ -245,7 +246,7 @@
 }
 
 #[test]
-fn an_instance_that_leaves_is_named_to_nobody() {
+fn callers_do_not_get_the_address_of_an_instance_that_is_shutting_down() {
     let mut directory = InstanceDirectory::new(instance(0, 1));
     directory.set_ready(true);
     let other = instance(1, 1);
@@ -258,10 +259,10 @@
     assert_eq!(directory.addresses(None), [instance(0, 1).callers]);
 }
 
-/// Callers take these statuses for a promise that the request did not run.
+/// Callers rely on these statuses as a promise that the request did not run.
 #[test]
-fn only_reasons_before_a_server_are_promises() {
-    let unknown = [LocalReason::Unknown, LocalReason::TimedOut];
+fn only_refusals_before_sending_promise_that_the_request_did_not_run() {
+    let unknown = [LocalReason::OutcomeUnknown, LocalReason::TimedOut];
     for reason in unknown {
         let status = reason.status().as_u16();
         assert!(![408, 421, 429, 503].contains(&status), "{reason:?}");
@@ -269,15 +270,15 @@
     for reason in [
         LocalReason::NoConfig,
         LocalReason::ServersFull,
-        LocalReason::Stopping,
+        LocalReason::ShuttingDown,
     ] {
         assert_eq!(reason.status().as_u16(), 503);
         assert!(reason.retry_after().is_some(), "{reason:?}");
     }
 }
 
-/// A directory of `large` instances with 500 thousandths of a core and `small`
-/// ones with 120, the own one among the large.
+/// A directory of `large` instances with 500 thousandths of a core, including its
+/// own instance, and `small` ones with 120.
 fn fleet(large: u16, small: u16) -> InstanceDirectory {
     let mut directory = InstanceDirectory::new(instance(0, 1));
     directory.set_ready(true);
@@ -292,16 +293,16 @@
     directory
 }
 
-// Guards against small machines that get as many requests as large ones: callers
-// pick one of the named addresses at random.
+// Guards against small machines that get as many requests as large ones, since
+// callers pick one of the listed addresses at random.
 #[test]
-fn instances_are_named_in_proportion_to_their_capacity() {
-    const ANSWERS: u32 = 2_000;
+fn instances_are_listed_in_proportion_to_their_capacity() {
+    const LISTS: u32 = 2_000;
     fastrand::seed(17);
     let directory = fleet(8, 54);
     let mut large = 0;
     let mut small = 0;
-    for _answer in 0..ANSWERS {
+    for _list in 0..LISTS {
         for address in directory.addresses(None) {
             if address.port() < 8_008 {
                 large += 1;
@@ -310,18 +311,18 @@
             }
         }
     }
-    assert_eq!(large, 8 * ANSWERS);
-    let share = f64::from(small) / f64::from(54 * ANSWERS);
+    assert_eq!(large, 8 * LISTS);
+    let share = f64::from(small) / f64::from(54 * LISTS);
     assert!((0.22..0.26).contains(&share), "{share}, not 120 of 500");
 }
 
-// Guards against an answer with so few addresses that a caller who keeps it has
-// none left after some instances died.
+// Guards against a list with so few addresses that a caller who keeps it has no
+// live instance left after some have failed.
 #[test]
-fn an_answer_names_several_instances_also_when_one_is_much_larger() {
+fn a_list_has_several_instances_even_if_one_is_much_larger() {
     fastrand::seed(17);
     let directory = fleet(1, 61);
-    for _answer in 0..200 {
+    for _list in 0..200 {
         let mut addresses = directory.addresses(None);
         addresses.sort();
         addresses.dedup();
@@ -330,25 +331,25 @@
     assert_eq!(fleet(1, 5).addresses(None).len(), 6);
 }
 
-// Guards against leaving instances out of a fleet whose machines are alike.
+// Guards against omitting instances of a fleet whose machines are alike.
 #[test]
-fn instances_of_equal_capacity_are_all_named() {
+fn instances_of_equal_capacity_are_all_listed() {
     fastrand::seed(17);
     for directory in [fleet(20, 0), fleet(62, 0)] {
         let expected = directory.live_count() as usize;
-        for _answer in 0..50 {
+        for _list in 0..50 {
             assert_eq!(directory.addresses(None).len(), expected);
         }
     }
 }
 
-// Guards against callers that give up their connections with each answer, since
-// it names other instances than the one before.
+// Guards against callers that close their connections after each new list, since
+// it has other instances than the list before.
 #[test]
-fn a_caller_is_named_the_same_instances_by_all_of_them() {
+fn a_caller_gets_the_same_instances_in_each_list() {
     fastrand::seed(17);
     let directory = fleet(8, 54);
-    let named = |number: u8| {
+    let listed = |number: u8| {
         let caller = std::net::IpAddr::from([10, 9, 0, number]);
         let mut addresses = directory.addresses_for(None, Some(caller));
         addresses.sort();
@@ -356,8 +357,8 @@
     };
     let mut small = 0;
     for number in 0..200 {
-        assert_eq!(named(number), named(number));
-        small += named(number).len() - 8;
+        assert_eq!(listed(number), listed(number));
+        small += listed(number).len() - 8;
     }
     let share = small as f64 / (54.0 * 200.0);
     assert!((0.21..0.27).contains(&share), "{share}, not 120 of 500");
