--- a/crates/hibiscus-traffic/src/bounded.rs
+++ b/crates/hibiscus-traffic/src/bounded.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether the head exceeds its size limit.
-    fn is_full(&self) -> bool {
+    fn exceeds_limit(&self) -> bool {
         self.bytes
             .get()
             .is_some_and(|bytes| bytes >= HEAD_LIMIT_BYTES)
@@ -63,7 +63,7 @@
     stream: TcpStream,
     head_counter: HeadByteCounter,
     /// Bytes read since the last yield.
-    unyielded_bytes: usize,
+    bytes_since_yield: usize,
 }
 
 impl BoundedStream {
@@ -72,7 +72,7 @@
         Self {
             stream,
             head_counter,
-            unyielded_bytes: 0,
+            bytes_since_yield: 0,
         }
     }
 }
@@ -83,23 +83,23 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.head_counter.is_full() {
+        if self.head_counter.exceeds_limit() {
             let error = io::Error::other("the head of the response exceeds the size limit");
             return Poll::Ready(Err(error));
         }
-        if self.unyielded_bytes >= YIELD_AFTER_BYTES {
-            self.unyielded_bytes = 0;
+        if self.bytes_since_yield >= YIELD_AFTER_BYTES {
+            self.bytes_since_yield = 0;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if read.is_pending() {
-            self.unyielded_bytes = 0;
+            self.bytes_since_yield = 0;
             return Poll::Pending;
         }
         let bytes = buffer.filled().len() - before;
-        self.unyielded_bytes += bytes;
+        self.bytes_since_yield += bytes;
         self.head_counter.add(bytes);
         read
     }
--- a/crates/hibiscus-traffic/src/callers.rs
+++ b/crates/hibiscus-traffic/src/callers.rs
@@ -60,7 +60,8 @@
     requests: Cell<usize>,
     /// Whether a request has begun on the connection.
     begun: Cell<bool>,
-    /// Whether the next bytes belong to the body of a refused request.
+    /// Whether the body of the last request has not been read to its end. If so,
+    /// the next bytes belong to that body, not to a new head.
     unread_body: Cell<bool>,
     /// Notified when the connection is to be closed.
     close: Notify,
--- a/crates/hibiscus-traffic/src/handler/forwarding.rs
+++ b/crates/hibiscus-traffic/src/handler/forwarding.rs
@@ -321,8 +321,8 @@
     handle_outcome(admitted, charge, history, attempt, report.outcome).await
 }
 
-/// A request that was sent to a server, and the parts that are notified of its
-/// outcome.
+/// A request that was sent to a server, with the crash detector and the list of
+/// suspects to notify of its outcome.
 #[derive(Clone)]
 pub(super) struct SentAttempt {
     server: Rc<ServerHandle>,
--- a/crates/hibiscus-traffic/src/in_flight.rs
+++ b/crates/hibiscus-traffic/src/in_flight.rs
@@ -85,23 +85,24 @@
 pub struct InFlightRequest {
     server: Rc<ServerHandle>,
     connection: Option<ServerConnection>,
-    /// Prompt tokens counted as unread until the first output token arrives.
+    /// Prompt tokens that the server has yet to read; `None` once the first output
+    /// token has arrived.
     unread: Option<u64>,
-    /// Whether the request probes the server after a refusal; `None` once the
-    /// server has responded.
-    is_probe: Option<bool>,
+    /// Whether this is a trial request after a refusal by the server; `None` once
+    /// the server has responded.
+    is_trial: Option<bool>,
 }
 
 impl InFlightRequest {
     /// Counts a request with the shared `parts` at the chosen server. It counts
     /// from before a connection is open until the returned value is dropped.
     pub fn begin(chosen: &ChosenServer, parts: &[PartTokens], now: Duration) -> Self {
-        let is_probe = chosen.server.note_sent(parts, chosen.unread, now);
+        let is_trial = chosen.server.note_sent(parts, chosen.unread, now);
         Self {
             server: Rc::clone(&chosen.server),
             connection: None,
             unread: Some(chosen.unread),
-            is_probe: Some(is_probe),
+            is_trial: Some(is_trial),
         }
     }
 
@@ -122,21 +123,21 @@
 
     /// Whether the server still takes the request.
     pub fn may_send(&self) -> bool {
-        self.is_probe
-            .is_some_and(|is_probe| self.server.still_takes(is_probe))
+        self.is_trial
+            .is_some_and(|is_trial| self.server.still_takes(is_trial))
     }
 
     /// Records that the server accepted the request.
     pub fn note_accepted(&mut self) {
-        if let Some(is_probe) = self.is_probe.take() {
-            self.server.note_taken(is_probe);
+        if let Some(is_trial) = self.is_trial.take() {
+            self.server.note_taken(is_trial);
         }
     }
 
     /// Records that the server refused the request and wants no others for
     /// `pause`.
     pub fn note_refused(&mut self, pause: Option<Duration>) {
-        self.is_probe = None;
+        self.is_trial = None;
         self.server.note_refused(pause);
     }
 
@@ -170,8 +171,8 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.note_read();
-        if let Some(is_probe) = self.is_probe {
-            self.server.note_unanswered(is_probe);
+        if let Some(is_trial) = self.is_trial {
+            self.server.note_unanswered(is_trial);
         }
         self.server.note_ended();
     }
--- a/crates/hibiscus-traffic/src/port.rs
+++ b/crates/hibiscus-traffic/src/port.rs
@@ -29,7 +29,8 @@
 use crate::tally::CloseReason;
 use crate::wire_format::WireFormat;
 
-/// Timeout for the head of a request while no configuration is known.
+/// Timeout for the head of a status request, and of any request while no
+/// configuration is known.
 const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 /// Minimum size of a connection's buffer that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
--- a/crates/hibiscus-traffic/src/response.rs
+++ b/crates/hibiscus-traffic/src/response.rs
@@ -24,7 +24,7 @@
 pub enum LocalReason {
     /// This instance has no configuration yet.
     NoConfig,
-    /// The request's headers or body cannot be parsed.
+    /// The header fields cannot be parsed, or the body cannot be read.
     BadRequest,
     /// The body exceeds the configured size limit.
     BodyTooLong,
--- a/crates/hibiscus-traffic/src/traffic_metrics.rs
+++ b/crates/hibiscus-traffic/src/traffic_metrics.rs
@@ -25,7 +25,7 @@
 /// Metric name: requests by kind and outcome.
 pub const REQUESTS: &str = "hibiscus_requests_total";
 /// Metric name: local responses by reason.
-pub const OWN_ANSWERS: &str = "hibiscus_own_answers_total";
+pub const LOCAL_RESPONSES: &str = "hibiscus_own_answers_total";
 /// Metric name: configuration versions that came into force, by source.
 pub const CONFIG_VERSIONS: &str = "hibiscus_config_versions_total";
 /// Metric name: retries, which are sends of a request after its first.
@@ -157,7 +157,7 @@
 
     /// Counts a local response.
     pub fn count_local_response(&self, reason: LocalReason) {
-        counter!(OWN_ANSWERS, "reason" => reason.as_str()).increment(1);
+        counter!(LOCAL_RESPONSES, "reason" => reason.as_str()).increment(1);
     }
 
     fn kind_metrics(&self, kind: Option<RequestKind>) -> &KindMetrics {
