--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -14,10 +14,10 @@
 use hibiscus_peer::PinnedError;
 use hibiscus_peer::PinnedKeys;
 use hibiscus_peer::PinnedLink;
-use hibiscus_traffic::budgets::BudgetDesk;
+use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::clock::MachineClock;
+use hibiscus_traffic::crash_detector;
 use hibiscus_traffic::directory::InstanceDirectory;
-use hibiscus_traffic::endings;
 use hibiscus_traffic::machine;
 use hibiscus_traffic::machine::MachineLimits;
 use hibiscus_traffic::members;
@@ -34,7 +34,7 @@
 use hibiscus_traffic::state::TrafficParts;
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::supply;
-use hibiscus_traffic::suspects::SuspectDesk;
+use hibiscus_traffic::suspects::SuspectTracker;
 use hibiscus_traffic::traffic_metrics;
 use hibiscus_traffic::updates;
 use hibiscus_traffic::updates::UpdateReceiver;
@@ -220,7 +220,7 @@
         let (store, sender, limits) = (store.clone(), sender.clone(), settings.store_limits);
         move || append::run(&store, limits, &sender, &batches)
     })?;
-    let mut desk = BudgetDesk::new(own.incarnation, own.name.clone(), clock, outbox);
+    let mut desk = BudgetManager::new(own.incarnation, own.name.clone(), clock, outbox);
     desk.set_reader(reader.thread().clone());
     let retries = RetryCounter::new(RetryBound {
         share: settings.retry_share,
@@ -233,7 +233,7 @@
         budgets: desk,
         retries,
         directory: InstanceDirectory::new(own.clone()),
-        suspects: SuspectDesk::new(own.name.clone(), news),
+        suspects: SuspectTracker::new(own.name.clone(), news),
         bounds: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
         limits,
         first_start: settings.first_start,
@@ -308,13 +308,13 @@
     let (inbox, calls) = tokio::sync::mpsc::channel(peers::RING_CAPACITY);
     let link = PinnedLink::open(settings.peers, &keys, &state.pins, inbox)?;
     *state.link.borrow_mut() = Some(link);
-    state.budgets.begin();
+    state.budgets.set_start_time();
     tokio::task::spawn_local(peers::answer_calls(Rc::clone(&state), calls));
     tokio::task::spawn_local(recovery::close_unproven(Rc::clone(&state)));
-    tokio::task::spawn_local(recovery::close_strangers(Rc::clone(&state)));
+    tokio::task::spawn_local(recovery::close_ended_processes(Rc::clone(&state)));
     tokio::task::spawn_local(members::keep(Rc::clone(&state), answers::READINESS_PATH));
-    tokio::task::spawn_local(endings::keep(Rc::clone(&state)));
-    tokio::task::spawn_local(hibiscus_traffic::suspects::keep(Rc::clone(&state)));
+    tokio::task::spawn_local(crash_detector::run(Rc::clone(&state)));
+    tokio::task::spawn_local(hibiscus_traffic::suspects::run(Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_callers(callers, Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_status_requests(
         readiness,
@@ -374,7 +374,7 @@
     loop {
         tokio::time::sleep(LEVELS_PAUSE).await;
         state.show_levels();
-        state.suspects.tick(state.keeps_suspects(), state.now());
+        state.suspects.tick(state.maintains_suspects(), state.now());
         if let Some(link) = state.link.borrow().as_ref() {
             show_link(&link.counts());
         }
@@ -459,8 +459,8 @@
 /// Gives tokens back and writes the last snapshots, until the store has both.
 async fn settle_accounts(state: &Rc<FrontState>, updates: &mut UpdateReceiver) {
     supply::return_all(state).await;
-    state.budgets.give_all_back();
-    while !state.budgets.is_acknowledged() || !state.budgets.is_read_back() {
+    state.budgets.return_all_tokens();
+    while !state.budgets.is_acknowledged() || !state.budgets.has_read_own_records() {
         if let Some(update) = updates.recv().await {
             state.apply(update);
         }
@@ -488,7 +488,7 @@
     if request.uri().path() != answers::READINESS_PATH {
         return response::status_response(http::StatusCode::NOT_FOUND);
     }
-    state.tally.readiness_asked.add();
+    state.tally.readiness_requests.add();
     if state.directory.borrow().is_ready() {
         response::status_response(http::StatusCode::OK)
     } else {
--- a/crates/hibiscus-traffic/src/handler/admission.rs
+++ b/crates/hibiscus-traffic/src/handler/admission.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 
 use crate::callers::BodyBytes;
-use crate::endings::RequestIdentity;
+use crate::crash_detector::RequestIdentity;
 use crate::handler::RequestInfo;
 use crate::handler::Result;
 use crate::model::RouteRule;
--- a/crates/hibiscus-traffic/src/handler/forwarding.rs
+++ b/crates/hibiscus-traffic/src/handler/forwarding.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_request::print::RequestPrint;
+use hibiscus_request::fingerprint::RequestFingerprint;
 use hibiscus_routing::placement::PartTokens;
-use hibiscus_routing::placement::PlacementCase;
+use hibiscus_routing::placement::PlacementRequest;
 use hibiscus_types::ServerName;
 use http::Response;
 use http_body_util::BodyExt;
@@ -17,9 +17,9 @@
 use hyper::body::Incoming;
 
 use crate::connect::ConnectFault;
-use crate::endings::EndingWatch;
-use crate::endings::ExposedRequest;
-use crate::endings::StreamExposure;
+use crate::crash_detector::CrashCandidate;
+use crate::crash_detector::CrashDetector;
+use crate::crash_detector::StreamCandidate;
 use crate::handler::Result;
 use crate::handler::admission::AdmittedRequest;
 use crate::in_flight::InFlightRequest;
@@ -39,8 +39,8 @@
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
 use crate::suspects;
-use crate::suspects::SuspectDesk;
-use crate::suspects::SuspectStanding;
+use crate::suspects::SuspectStatus;
+use crate::suspects::SuspectTracker;
 use crate::traffic_metrics::RequestOutcome;
 use crate::traffic_metrics::TrafficMetrics;
 use crate::wire_format::CallerHeaders;
@@ -85,8 +85,8 @@
     /// Try another server. Nothing arrived at this one, so this does not count
     /// as a retry.
     TryElsewhere,
-    /// Give up.
-    Stop,
+    /// Nothing more may be tried.
+    End,
 }
 
 impl AttemptHistory {
@@ -138,7 +138,7 @@
         if may_run_again(admitted, self.runs) {
             NextStep::Retry
         } else {
-            NextStep::Stop
+            NextStep::End
         }
     }
 
@@ -159,14 +159,14 @@
 pub(super) fn check_quarantine<D: WireFormat>(
     state: &TrafficState<D>,
     admitted: &AdmittedRequest,
-) -> Result<SuspectStanding> {
-    let standing = state.suspects.standing(&admitted.identity);
-    if let SuspectStanding::Condemned(_) = standing {
-        let fingerprint = admitted.identity.print();
-        suspects::log_standing(&admitted.caller_headers.id, &fingerprint, &standing);
+) -> Result<SuspectStatus> {
+    let suspect_status = state.suspects.status(&admitted.identity);
+    if let SuspectStatus::Quarantined(_) = suspect_status {
+        let fingerprint = admitted.identity.fingerprint();
+        suspects::log_suspect_status(&admitted.caller_headers.id, &fingerprint, &suspect_status);
         return Err(LocalReason::CrashesServers.into());
     }
-    Ok(standing)
+    Ok(suspect_status)
 }
 
 /// Sends the request to servers until one responds or no further attempt is
@@ -203,7 +203,7 @@
         match attempt(state, admitted, charge.as_ref(), &mut history).await {
             NextStep::Respond(response) => return Ok(*response),
             NextStep::TryElsewhere => {}
-            NextStep::Stop => break,
+            NextStep::End => break,
             NextStep::Retry => {
                 let instances = state.directory.borrow().possibly_live_count();
                 let mut retries = state.retries.borrow_mut();
@@ -225,15 +225,15 @@
     history: &mut AttemptHistory,
 ) -> NextStep {
     // Other instances may have reported crashes since the last attempt.
-    let standing = match check_quarantine(state, admitted) {
-        Ok(standing) => standing,
+    let suspect_status = match check_quarantine(state, admitted) {
+        Ok(suspect_status) => suspect_status,
         Err(refusal) => {
             history.refusal = refusal;
-            return NextStep::Stop;
+            return NextStep::End;
         }
     };
     let (shared, own_tokens) = shared_parts(&admitted.caller_headers);
-    let case = PlacementCase {
+    let case = PlacementRequest {
         shared: &shared,
         own_tokens,
         now: state.now(),
@@ -250,7 +250,7 @@
         Ok(chosen) => chosen,
         Err(none) => {
             history.note_no_server(none);
-            return NextStep::Stop;
+            return NextStep::End;
         }
     };
     let name = chosen.server.entry.name.clone();
@@ -275,14 +275,14 @@
         deadline: admitted.deadline,
         abandon_if_silent: may_run_again(admitted, history.runs + 1),
     };
-    let suspect_fingerprint = match &standing {
-        SuspectStanding::Clear => None,
-        _ => Some(admitted.identity.print()),
+    let suspect = match &suspect_status {
+        SuspectStatus::Clear => None,
+        _ => Some(admitted.identity.fingerprint()),
     };
-    if let Some(fingerprint) = &suspect_fingerprint
+    if let Some(fingerprint) = &suspect
         && history.tried.len() == 1
     {
-        suspects::log_standing(&admitted.caller_headers.id, fingerprint, &standing);
+        suspects::log_suspect_status(&admitted.caller_headers.id, fingerprint, &suspect_status);
     }
     let in_flight = InFlightRequest::begin(&chosen, &shared, state.now());
     if let Some(charge) = charge {
@@ -293,10 +293,10 @@
         "request={} server={name}",
         admitted.caller_headers.id
     );
-    let request = ExposedRequest::new(
+    let request = CrashCandidate::new(
         &admitted.caller_headers.id,
         &admitted.identity,
-        standing.rounds(),
+        suspect_status.rounds(),
     );
     let has_other = || {
         let instances = state.directory.borrow().possibly_live_count();
@@ -309,14 +309,14 @@
     };
     let report = send::send(&state.dialect, in_flight, &outgoing, has_other).await;
     if report.draining {
-        state.note_leaving(&chosen.server.entry.start(), "answer");
+        state.note_draining(&chosen.server.entry.start(), "answer");
     }
     let attempt = SentAttempt {
         server: chosen.server,
         request,
-        crash_detector: Rc::clone(&state.endings),
+        crash_detector: Rc::clone(&state.crash_detector),
         suspects: Rc::clone(&state.suspects),
-        suspect_fingerprint,
+        suspect,
     };
     handle_outcome(admitted, charge, history, attempt, report.outcome).await
 }
@@ -326,18 +326,18 @@
 #[derive(Clone)]
 pub(super) struct SentAttempt {
     server: Rc<ServerHandle>,
-    request: ExposedRequest,
-    crash_detector: Rc<EndingWatch>,
-    suspects: Rc<SuspectDesk>,
+    request: CrashCandidate,
+    crash_detector: Rc<CrashDetector>,
+    suspects: Rc<SuspectTracker>,
     /// Fingerprint of the request if servers crashed while they ran it before.
-    suspect_fingerprint: Option<RequestPrint>,
+    suspect: Option<RequestFingerprint>,
 }
 
 impl SentAttempt {
     /// Records that the server sent a whole response.
     fn note_responded(&self) {
-        if let Some(fingerprint) = &self.suspect_fingerprint {
-            self.suspects.note_answered(&self.request.id, fingerprint);
+        if let Some(fingerprint) = &self.suspect {
+            self.suspects.note_response(&self.request.id, fingerprint);
         }
     }
 
@@ -355,8 +355,8 @@
         self.crash_detector
             .note_broken(&self.server, Some(self.request));
         // If this request crashes servers, the next one would crash too.
-        if self.suspect_fingerprint.is_some() {
-            return NextStep::Stop;
+        if self.suspect.is_some() {
+            return NextStep::End;
         }
         next
     }
@@ -414,7 +414,7 @@
         SendOutcome::Unknown(cause) => attempt.fail(admitted, history, cause),
         SendOutcome::TimedOut => {
             history.refusal = LocalReason::TimedOut.into();
-            NextStep::Stop
+            NextStep::End
         }
     }
 }
@@ -473,9 +473,9 @@
             charge: stream.charge,
             tokens_per_event: engine.map_or(1, |engine| engine.tokens_per_event),
             progress,
-            exposure: StreamExposure::new(attempt.request, attempt.crash_detector),
+            crash_candidate: StreamCandidate::new(attempt.request, attempt.crash_detector),
             suspects: attempt.suspects,
-            suspect_fingerprint: attempt.suspect_fingerprint,
+            suspect: attempt.suspect,
         };
         let deadline = tokio::time::sleep_until(admitted.deadline.into());
         let forwarder = StreamForwarder::new(
@@ -510,13 +510,13 @@
         })));
     }
     let wait = admitted.deadline.saturating_duration_since(Instant::now());
-    let collected = Limited::new(body, BUFFERED_BODY_LIMIT_BYTES).collect();
-    let collected = tokio::time::timeout(wait, collected).await;
-    let Ok(Ok(collected)) = collected else {
+    let gathered = Limited::new(body, BUFFERED_BODY_LIMIT_BYTES).collect();
+    let gathered = tokio::time::timeout(wait, gathered).await;
+    let Ok(Ok(gathered)) = gathered else {
         in_flight.server().note_failed();
         return Err(FailureCause::ResponseBroken);
     };
-    in_flight.note_read();
+    in_flight.note_prefill_done();
     in_flight.server().note_healthy();
     attempt.note_responded();
     event!(
@@ -528,7 +528,7 @@
         admitted.arrived.elapsed().as_millis()
     );
     in_flight.keep_connection();
-    let response = Response::from_parts(head, collected.to_bytes());
+    let response = Response::from_parts(head, gathered.to_bytes());
     Ok(ForwardedResponse::Whole(response))
 }
 
--- a/crates/hibiscus-traffic/src/handler/reservation.rs
+++ b/crates/hibiscus-traffic/src/handler/reservation.rs
@@ -51,7 +51,7 @@
             TokenRefusal::Spent => LocalReason::BudgetSpent,
             TokenRefusal::Unconfirmed | TokenRefusal::Later(_) => LocalReason::BudgetUnconfirmed,
         },
-        recovery: refusal.chance(),
+        recovery: refusal.retry_after(),
     })?;
     let charge = RequestCharge::new(
         state.budgets.clone(),
--- a/crates/hibiscus-traffic/src/in_flight.rs
+++ b/crates/hibiscus-traffic/src/in_flight.rs
@@ -8,8 +8,8 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::purse::TokenHold;
-use hibiscus_request::print::RequestPrint;
+use hibiscus_ledger::account::quota::QuotaReservation;
+use hibiscus_request::fingerprint::RequestFingerprint;
 use hibiscus_routing::placement::PartTokens;
 use hibiscus_types::BudgetName;
 use hibiscus_types::TokenCount;
@@ -17,13 +17,13 @@
 use crate::budgets::BudgetHandle;
 use crate::callers::CallerRequest;
 use crate::connect::ServerConnection;
-use crate::endings::StreamExposure;
+use crate::crash_detector::StreamCandidate;
 use crate::model::RequestKind;
 use crate::response_body::BodyFault;
 use crate::servers::ChosenServer;
 use crate::servers::ServerHandle;
 use crate::state::CountGuard;
-use crate::suspects::SuspectDesk;
+use crate::suspects::SuspectTracker;
 use crate::tally::CloseReason;
 use crate::traffic_metrics::RequestOutcome;
 use crate::traffic_metrics::TrafficMetrics;
@@ -35,7 +35,7 @@
 pub struct RequestCharge {
     budgets: BudgetHandle,
     budget: BudgetName,
-    hold: TokenHold,
+    hold: QuotaReservation,
     prompt: u64,
     sent: Cell<bool>,
     delivered: Cell<u64>,
@@ -44,7 +44,12 @@
 impl RequestCharge {
     /// Creates the charge of a request whose prompt has `prompt` tokens and whose
     /// reservation is `hold`.
-    pub fn new(budgets: BudgetHandle, budget: BudgetName, hold: TokenHold, prompt: u64) -> Self {
+    pub fn new(
+        budgets: BudgetHandle,
+        budget: BudgetName,
+        hold: QuotaReservation,
+        prompt: u64,
+    ) -> Self {
         Self {
             budgets,
             budget,
@@ -87,7 +92,7 @@
     connection: Option<ServerConnection>,
     /// Prompt tokens that the server has yet to read; `None` once the first output
     /// token has arrived.
-    unread: Option<u64>,
+    prefill_tokens: Option<u64>,
     /// Whether this is a trial request after a refusal by the server; `None` once
     /// the server has responded.
     is_trial: Option<bool>,
@@ -97,11 +102,11 @@
     /// Counts a request with the shared `parts` at the chosen server. It counts
     /// from before a connection is open until the returned value is dropped.
     pub fn begin(chosen: &ChosenServer, parts: &[PartTokens], now: Duration) -> Self {
-        let is_trial = chosen.server.note_sent(parts, chosen.unread, now);
+        let is_trial = chosen.server.note_sent(parts, chosen.prefill_tokens, now);
         Self {
             server: Rc::clone(&chosen.server),
             connection: None,
-            unread: Some(chosen.unread),
+            prefill_tokens: Some(chosen.prefill_tokens),
             is_trial: Some(is_trial),
         }
     }
@@ -124,13 +129,13 @@
     /// Whether the server still takes the request.
     pub fn may_send(&self) -> bool {
         self.is_trial
-            .is_some_and(|is_trial| self.server.still_takes(is_trial))
+            .is_some_and(|is_trial| self.server.still_accepts(is_trial))
     }
 
     /// Records that the server accepted the request.
     pub fn note_accepted(&mut self) {
         if let Some(is_trial) = self.is_trial.take() {
-            self.server.note_taken(is_trial);
+            self.server.note_accepted(is_trial);
         }
     }
 
@@ -142,9 +147,9 @@
     }
 
     /// Records that the first output token arrived, so the prompt has been read.
-    pub fn note_read(&mut self) {
-        if let Some(unread) = self.unread.take() {
-            self.server.note_read(unread);
+    pub fn note_prefill_done(&mut self) {
+        if let Some(prefill_tokens) = self.prefill_tokens.take() {
+            self.server.note_prefill_done(prefill_tokens);
         }
     }
 
@@ -170,7 +175,7 @@
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.note_read();
+        self.note_prefill_done();
         if let Some(is_trial) = self.is_trial {
             self.server.note_unanswered(is_trial);
         }
@@ -231,11 +236,11 @@
     /// Counts the request as in progress until its response has been sent.
     pub progress: RequestProgress,
     /// Attributes a crash of the server to the request while it runs.
-    pub exposure: StreamExposure,
+    pub crash_candidate: StreamCandidate,
     /// Requests suspected of crashing servers.
-    pub suspects: Rc<SuspectDesk>,
+    pub suspects: Rc<SuspectTracker>,
     /// Fingerprint of the request if it is suspected of crashing servers.
-    pub suspect_fingerprint: Option<RequestPrint>,
+    pub suspect: Option<RequestFingerprint>,
 }
 
 impl ResponseTracker {
@@ -244,7 +249,7 @@
         if events == 0 {
             return;
         }
-        self.exposure.note_event();
+        self.crash_candidate.note_event();
         let now = Instant::now();
         match self.last_event.replace(now) {
             None => self
@@ -252,8 +257,8 @@
                 .record_first_event(self.kind, now - self.arrived),
             Some(before) => self.metrics.record_event_gap(now - before),
         }
-        self.in_flight.note_read();
-        self.in_flight.server().note_heard();
+        self.in_flight.note_prefill_done();
+        self.in_flight.server().note_received();
         if let Some(charge) = &self.charge {
             charge.note_delivered(events * self.tokens_per_event);
         }
@@ -308,8 +313,8 @@
                     self.arrived.elapsed().as_millis()
                 );
                 server.note_healthy();
-                if let Some(fingerprint) = &self.suspect_fingerprint {
-                    self.suspects.note_answered(&self.id, fingerprint);
+                if let Some(fingerprint) = &self.suspect {
+                    self.suspects.note_response(&self.id, fingerprint);
                 }
                 self.in_flight.keep_connection();
             }
@@ -318,7 +323,7 @@
                     server.note_failed();
                 }
                 if fault == BodyFault::Broken {
-                    self.exposure.note_broken(server);
+                    self.crash_candidate.note_broken(server);
                 }
                 event!(
                     EventCode::AnswerBroken,
--- a/crates/hibiscus-traffic/src/lib.rs
+++ b/crates/hibiscus-traffic/src/lib.rs
@@ -5,11 +5,11 @@
 //!
 //! - [`port`] accepts callers' connections, [`callers`] bounds them, and each
 //!   request goes to [`handler`], which admits it, places it, forwards it and answers.
-//! - [`servers`] holds the backend servers that [`roster`] knows, with their
+//! - [`servers`] holds the backend servers that [`server_registry`] knows, with their
 //!   kept connections ([`connect`], [`bounded`], [`idle`]) and what their
-//!   processes have said of new requests ([`standings`]); [`response_body`] passes an
+//!   processes have said of new requests ([`availability_table`]); [`response_body`] passes an
 //!   answer's bytes on and checks that it is whole.
-//! - [`endings`] finds out whether a server that broke a request's connection
+//! - [`crash_detector`] finds out whether a server that broke a request's connection
 //!   has ended, and [`suspects`] what follows for those under which servers do.
 //! - [`supply`] gets a request's tokens from [`budgets`], or from the instances
 //!   that [`holders`] names; [`retries`] holds what may be sent twice,
@@ -17,10 +17,10 @@
 //!   watched ([`probe`]) and passes on what watchers find.
 //! - [`traffic_metrics`] counts what passes and [`tally`] the work for the fleet, for
 //!   the operators' metrics; [`machine`] tells what the process uses.
-//! - [`shares`] divides the machine's memory among them; [`relief`] says what to
+//! - [`shares`] divides the machine's memory among them; [`memory_pressure`] says what to
 //!   give up as it runs out.
 //! - [`relays`] says which instances read the operators' configuration and the
-//!   servers' entries as they come, [`change`] and [`server_news`] what they pass
+//!   servers' entries as they come, [`change`] and [`server_changes`] what they pass
 //!   on to the others.
 //! - [`updates`] is the ring by which the other duties' threads tell news;
 //!   everything is decided on this thread, so nothing here is locked.
@@ -28,37 +28,36 @@
 //! How requests are spelled is a [`wire_format::WireFormat`]; the life cycle
 //! knows no protocol beyond HTTP.
 
+pub mod availability_table;
 pub mod bounded;
 pub mod budgets;
 pub mod callers;
 pub mod change;
 pub mod clock;
 pub mod connect;
+pub mod crash_detector;
 pub mod directory;
-pub mod endings;
 pub mod handler;
 pub mod holders;
 pub mod idle;
 pub mod in_flight;
 pub mod machine;
 pub mod members;
+pub mod memory_pressure;
 pub mod model;
 pub mod peers;
 pub mod port;
-pub mod pressure;
 pub mod probe;
 pub mod recovery;
 pub mod relays;
-pub mod relief;
 pub mod response;
 pub mod response_body;
 pub mod retries;
-pub mod roster;
 pub mod send;
-pub mod server_news;
+pub mod server_changes;
+pub mod server_registry;
 pub mod servers;
 pub mod shares;
-pub mod standings;
 pub mod state;
 pub mod stream;
 pub mod supply;
@@ -67,4 +66,5 @@
 pub mod tally;
 pub mod traffic_metrics;
 pub mod updates;
+pub mod usage_log;
 pub mod wire_format;
--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -15,7 +15,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_ledger::account::pace::MachineTime;
+use hibiscus_ledger::account::limit::MachineTime;
 use hibiscus_membership::verdict::SilenceMessage;
 use hibiscus_peer::PinnedCall;
 use hibiscus_peer::PinnedLink;
@@ -31,7 +31,7 @@
 use crate::budgets::TokenRefusal;
 use crate::state::TrafficState;
 use crate::supply;
-use crate::suspects::EndingNews;
+use crate::suspects::CrashNotice;
 use crate::wire_format::WireFormat;
 
 /// Calls that wait to be answered.
@@ -70,7 +70,7 @@
     /// Takes over which instances are silent.
     Silence(SilenceMessage),
     /// Takes over which servers ended, and under which requests.
-    Endings(EndingNews),
+    Endings(CrashNotice),
     /// Tells which process answers for the instance.
     Process,
 }
@@ -114,7 +114,7 @@
     mut calls: mpsc::Receiver<PinnedCall>,
 ) {
     while let Some(call) = calls.recv().await {
-        state.tally.link_asked.add();
+        state.tally.link_requests.add();
         let question = match codec::decode::<PeerQuestion>(&call.body) {
             Ok(question) => question,
             Err(error) => {
@@ -152,7 +152,7 @@
     if let (PeerQuestion::Reserve { budget, .. }, PeerAnswer::Reserved(tokens)) =
         (&question, &answer)
     {
-        state.budgets.take_back(budget, *tokens);
+        state.budgets.refund(budget, *tokens);
     }
 }
 
@@ -161,7 +161,7 @@
     match question {
         PeerQuestion::Tokens { .. } => PeerAnswer::Tokens(TokenCount::ZERO),
         PeerQuestion::Process => {
-            let (incarnation, began, age) = state.budgets.process();
+            let (incarnation, began, age) = state.budgets.process_start();
             PeerAnswer::Process(PeerProcess {
                 incarnation,
                 began,
@@ -170,7 +170,7 @@
         }
         PeerQuestion::TimeOfDay => PeerAnswer::TimeOfDay(UnixMillis::now().get()),
         PeerQuestion::Reserve { budget, tokens } => {
-            match supply::pass_on(state, budget, *tokens).await {
+            match supply::transfer(state, budget, *tokens).await {
                 Ok(()) => PeerAnswer::Reserved(*tokens),
                 Err(refusal) => PeerAnswer::Refused(refusal),
             }
@@ -179,7 +179,7 @@
             PeerAnswer::Refused(TokenRefusal::Unconfirmed)
         }
         PeerQuestion::Return { budget, tokens } => {
-            state.budgets.take_back(budget, *tokens);
+            state.budgets.refund(budget, *tokens);
             PeerAnswer::Returned
         }
         PeerQuestion::Silence(message) => {
@@ -189,7 +189,7 @@
             PeerAnswer::Silence(answer)
         }
         PeerQuestion::Endings(news) => {
-            state.take_endings(news);
+            state.apply_crash_notice(news);
             PeerAnswer::EndingsTaken
         }
     }
@@ -227,7 +227,7 @@
 }
 
 /// Tells one instance which servers ended; false when it does not answer.
-pub async fn tell_endings(link: &PinnedLink, peer: SocketAddr, news: &EndingNews) -> bool {
+pub async fn tell_endings(link: &PinnedLink, peer: SocketAddr, news: &CrashNotice) -> bool {
     let question = PeerQuestion::Endings(news.clone());
     let answer = ask(link, peer, &question, TIME_LIMIT).await;
     answer == Some(PeerAnswer::EndingsTaken)
--- a/crates/hibiscus-traffic/src/send.rs
+++ b/crates/hibiscus-traffic/src/send.rs
@@ -177,7 +177,7 @@
             Err(outcome) => return outcome.into(),
         }
     };
-    server.note_heard();
+    server.note_received();
     let headers = format.parse_response_headers(response.headers());
     // A misdirected request reached another server than the intended one.
     let is_intended = response.status() != StatusCode::MISDIRECTED_REQUEST;
@@ -250,11 +250,11 @@
         .as_ref()
         .is_some_and(|response_id| response_id != id);
     if is_other {
-        server.note_nothing();
+        server.note_inconclusive();
         return SendOutcome::Unknown(FailureCause::OtherRequest);
     }
     if headers.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        server.note_nothing();
+        server.note_inconclusive();
         return SendOutcome::NotRun(status);
     }
     if status.is_success() && (!headers.signed || (headers.id.is_none() && !id.is_empty())) {
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -18,30 +18,29 @@
 use metrics::counter;
 use tokio::sync::Notify;
 
-use crate::budgets::BudgetDesk;
 use crate::budgets::BudgetHandle;
+use crate::budgets::BudgetManager;
 use crate::callers::CallerRegistry;
+use crate::crash_detector::CrashDetector;
 use crate::directory::InstanceDirectory;
-use crate::endings::EndingWatch;
-use crate::holders::HolderRefusals;
+use crate::holders::HolderFailures;
 use crate::holders::HolderTable;
 use crate::machine::MachineLimits;
 use crate::machine::MachineUse;
+use crate::memory_pressure::MemoryPressure;
+use crate::memory_pressure::PressureGauge;
 use crate::model::FleetConfig;
 use crate::model::InstanceEntry;
-use crate::pressure::PressureWatch;
 use crate::relays;
-use crate::relief::MemoryPressure;
-use crate::relief::PressureGauge;
 use crate::retries::RetryCounter;
-use crate::roster::RosterChange;
-use crate::roster::ServerRoster;
+use crate::server_registry::RegistryChange;
+use crate::server_registry::ServerRegistry;
 use crate::servers;
 use crate::servers::ServerPool;
 use crate::shares::MemoryShares;
 use crate::state::holding::HeldRanks;
 use crate::state::start::StartWatch;
-use crate::suspects::SuspectDesk;
+use crate::suspects::SuspectTracker;
 use crate::table::RouteTable;
 use crate::tally::WorkTally;
 use crate::traffic_metrics::CONFIG_VERSIONS;
@@ -49,6 +48,7 @@
 use crate::traffic_metrics::TrafficMetrics;
 use crate::updates::ConfigArrival;
 use crate::updates::TrafficUpdate;
+use crate::usage_log::UsageLogger;
 use crate::wire_format::WireFormat;
 
 /// Time for a head while no configuration is known: the usual limit.
@@ -62,13 +62,13 @@
     /// Where this instance is.
     pub data_centre: DataCentre,
     /// The budgets.
-    pub budgets: BudgetDesk,
+    pub budgets: BudgetManager,
     /// The retries.
     pub retries: RetryCounter,
     /// The instances.
     pub directory: InstanceDirectory,
     /// The requests under which servers ended.
-    pub suspects: SuspectDesk,
+    pub suspects: SuspectTracker,
     /// What each duty may take of the machine.
     pub bounds: MemoryShares,
     /// What the machine gives the process.
@@ -92,7 +92,7 @@
     /// The instances.
     pub directory: RefCell<InstanceDirectory>,
     /// Holders that lately had no tokens.
-    pub refusals: RefCell<HolderRefusals>,
+    pub refusals: RefCell<HolderFailures>,
     holders: RefCell<HolderTable>,
     /// Budgets of the configuration in force.
     budget_count: Cell<usize>,
@@ -112,12 +112,12 @@
     /// Counters and histograms.
     pub measures: Rc<TrafficMetrics>,
     /// Finds out which servers ended.
-    pub endings: Rc<EndingWatch>,
+    pub crash_detector: Rc<CrashDetector>,
     /// The requests under which servers ended.
-    pub suspects: Rc<SuspectDesk>,
+    pub suspects: Rc<SuspectTracker>,
     /// The servers.
     pub servers: RefCell<ServerPool>,
-    roster: RefCell<ServerRoster>,
+    server_registry: RefCell<ServerRegistry>,
     table: RefCell<Option<Rc<RouteTable>>>,
     start: StartWatch,
     /// When the table came into force.
@@ -134,7 +134,7 @@
     port_closed: Cell<bool>,
     port_close: Notify,
     started: Instant,
-    pressure: PressureWatch,
+    pressure: UsageLogger,
     bounds: MemoryShares,
     gauge: RefCell<PressureGauge>,
 }
@@ -145,7 +145,7 @@
         let own = parts.directory.own().name.clone();
         Self {
             tally: Rc::clone(parts.budgets.tally()),
-            pressure: PressureWatch::new(parts.limits),
+            pressure: UsageLogger::new(parts.limits),
             bounds: parts.bounds,
             gauge: RefCell::new(PressureGauge::new(parts.bounds.memory)),
             dialect: parts.dialect,
@@ -162,10 +162,10 @@
             members: Notify::new(),
             measures: Rc::default(),
             pins: PinSet::default(),
-            endings: Rc::default(),
+            crash_detector: Rc::default(),
             suspects: Rc::new(parts.suspects),
             servers: RefCell::new(ServerPool::new(own, parts.bounds.idle_links)),
-            roster: RefCell::default(),
+            server_registry: RefCell::default(),
             table: RefCell::default(),
             start: StartWatch::default(),
             table_since: Cell::default(),
@@ -279,27 +279,33 @@
                 }
             }
             TrafficUpdate::AllServers(entries) => {
-                let changes = self.roster.borrow_mut().replace(entries, self.now());
+                let changes = self
+                    .server_registry
+                    .borrow_mut()
+                    .replace(entries, self.now());
                 self.apply_roster(changes);
                 self.start.note_servers();
             }
             TrafficUpdate::Server(entry) => {
-                let change = self.roster.borrow_mut().put(entry);
+                let change = self.server_registry.borrow_mut().put(entry);
                 self.apply_roster(change);
             }
             TrafficUpdate::ServerGone(name) => {
-                let change = self.roster.borrow_mut().remove(&name, self.now());
+                let change = self.server_registry.borrow_mut().remove(&name, self.now());
                 self.apply_roster(change);
             }
-            TrafficUpdate::ServersLost => self.roster.borrow_mut().note_store_lost(),
-            TrafficUpdate::ServersRead => self.roster.borrow_mut().note_store_read(self.now()),
+            TrafficUpdate::ServersLost => self.server_registry.borrow_mut().note_store_lost(),
+            TrafficUpdate::ServersRead => self
+                .server_registry
+                .borrow_mut()
+                .note_store_read(self.now()),
             TrafficUpdate::Accounts { first, records } => {
                 for (offset, record) in (first..).zip(&records) {
                     self.budgets.apply(offset, record);
                 }
                 self.review_waiting();
             }
-            TrafficUpdate::AccountsEnd(end) => self.budgets.note_end(end),
+            TrafficUpdate::AccountsEnd(end) => self.budgets.set_stream_end(end),
             TrafficUpdate::AccountsCurrent => {
                 self.budgets.recover();
                 self.review_budgets();
@@ -312,7 +318,7 @@
                 self.review_waiting();
             }
             TrafficUpdate::Suspects(update) => {
-                let keeps = self.keeps_suspects();
+                let keeps = self.maintains_suspects();
                 self.suspects.take_stored(update, keeps, self.now());
             }
             TrafficUpdate::Instance(entry) => {
@@ -332,7 +338,7 @@
             }
             TrafficUpdate::Stop => {
                 self.stopping.set(Some(Instant::now()));
-                self.budgets.begin_stop();
+                self.budgets.begin_shutdown();
                 self.review_budgets();
                 self.directory.borrow_mut().set_ready(false);
             }
@@ -350,7 +356,7 @@
         let taken = Instant::now();
         counter!(CONFIG_VERSIONS, "source" => arrival.source.word()).increment(1);
         self.budgets.set_totals(&config);
-        self.budget_count.set(self.budgets.count());
+        self.budget_count.set(self.budgets.budget_count());
         let table = Rc::new(RouteTable::new(Arc::clone(&config)));
         *self.table.borrow_mut() = Some(table);
         self.start.note_config();
@@ -456,8 +462,8 @@
             used: MachineUse::read(),
             body_bytes: self.callers.body_bytes(),
             idle_links: servers.idle_links().len(),
-            accounts: self.budgets.accounts(),
-            account_lag: self.budgets.lag(),
+            accounts: self.budgets.account_count(),
+            account_lag: self.budgets.unread_records(),
         };
         levels.publish();
         self.tally.show();
@@ -475,14 +481,14 @@
 
     /// Drops servers that did not come back.
     pub fn expire_servers(&self) {
-        let changes = self.roster.borrow_mut().expire(self.now());
+        let changes = self.server_registry.borrow_mut().expire(self.now());
         self.apply_roster(changes);
     }
 
-    fn apply_roster(&self, changes: impl IntoIterator<Item = RosterChange>) {
+    fn apply_roster(&self, changes: impl IntoIterator<Item = RegistryChange>) {
         for change in changes {
             match &change {
-                RosterChange::Present(entry) => event!(
+                RegistryChange::Present(entry) => event!(
                     EventCode::ServerKnown,
                     "server={} service={} address={} phase={:?}",
                     entry.name,
@@ -490,7 +496,7 @@
                     entry.address,
                     entry.phase
                 ),
-                RosterChange::Gone(name) => event!(EventCode::ServerGone, "server={name}"),
+                RegistryChange::Gone(name) => event!(EventCode::ServerGone, "server={name}"),
             }
             self.servers.borrow_mut().apply(change);
         }
--- a/crates/hibiscus-traffic/src/wire_format.rs
+++ b/crates/hibiscus-traffic/src/wire_format.rs
@@ -22,9 +22,9 @@
     pub prompt_tokens: u64,
     /// Maximum number of output tokens.
     pub output_tokens: u64,
-    /// Parts of the prompt in order; the last belongs to this request only.
+    /// The prompt's parts in order; the last is the request's own.
     pub parts: Vec<PromptPart>,
-    /// Number of the last event that the caller received.
+    /// Number of the last event that the caller has.
     pub resume_after: Option<u64>,
 }
 
@@ -76,10 +76,10 @@
     ///
     /// # Errors
     ///
-    /// Fails when a required header field cannot be parsed.
+    /// Fails when a header that the request needs cannot be understood.
     fn parse_caller_headers(&self, headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault>;
 
-    /// Removes header fields that only the fleet may set.
+    /// Removes headers that only the fleet may set.
     fn strip_internal_headers(&self, headers: &mut HeaderMap);
 
     /// Sets the header fields for a backend server.
