--- a/crates/hibiscus-traffic/src/in_flight.rs
+++ b/crates/hibiscus-traffic/src/in_flight.rs
@@ -126,7 +126,7 @@
         self.connection.as_mut()
     }
 
-    /// Whether the server still takes the request.
+    /// Whether the server still accepts the request.
     pub fn may_send(&self) -> bool {
         self.is_trial
             .is_some_and(|is_trial| self.server.still_accepts(is_trial))
--- a/crates/hibiscus-traffic/src/response.rs
+++ b/crates/hibiscus-traffic/src/response.rs
@@ -138,7 +138,7 @@
 
 impl LocalRefusal {
     /// `Retry-After` of the response: at least the time until a retry may
-    /// succeed, plus a random delay that keeps callers from returning all at
+    /// succeed, plus a random delay that keeps callers from retrying all at
     /// once.
     pub fn retry_after(&self) -> Option<Duration> {
         let usual = self.reason.retry_after()?;
--- a/crates/hibiscus-traffic/src/send.rs
+++ b/crates/hibiscus-traffic/src/send.rs
@@ -100,7 +100,7 @@
     Unknown(FailureCause),
     /// The deadline passed after the request was sent.
     TimedOut,
-    /// The server stopped taking requests in the meantime, so nothing was sent.
+    /// The server stopped accepting requests in the meantime, so nothing was sent.
     Withdrawn,
 }
 
@@ -143,7 +143,8 @@
 }
 
 /// Sends `outgoing` to the server of `in_flight`. Gives up on a silent server
-/// only if `has_other` returns that another server can take the request.
+/// only while `has_other` returns true, which means that another server can take
+/// over the request.
 pub async fn send<D: WireFormat>(
     format: &D,
     mut in_flight: InFlightRequest,
@@ -163,7 +164,7 @@
             }
         };
         // A response to another request may have arrived while the connection
-        // opened, and the server may take no more requests.
+        // opened, and the server may accept no more requests.
         if !in_flight.may_send() {
             server.park(connection);
             return SendOutcome::Withdrawn.into();
--- a/crates/hibiscus-traffic/src/wire_format.rs
+++ b/crates/hibiscus-traffic/src/wire_format.rs
@@ -64,7 +64,7 @@
     pub not_run: bool,
     /// Load of the server.
     pub load: Option<ServerLoadReport>,
-    /// Whether the server is draining and takes no new requests.
+    /// Whether the server is draining and accepts no new requests.
     pub draining: bool,
     /// How long a server that refuses this request wants no others.
     pub pause: Option<Duration>,
