--- a/crates/hibiscus-traffic/src/directory.rs
+++ b/crates/hibiscus-traffic/src/directory.rs
@@ -12,8 +12,8 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_membership::silence::SilenceBoard;
-use hibiscus_membership::verdict::SilenceMessage;
+use hibiscus_membership::detector::FailureDetector;
+use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_peer::CertificatePin;
 use hibiscus_types::DataCentre;
 use hibiscus_types::IncarnationId;
@@ -57,7 +57,7 @@
     own: InstanceEntry,
     ready: bool,
     others: BTreeMap<InstanceName, KnownInstance>,
-    failure_detector: SilenceBoard,
+    failure_detector: FailureDetector,
     created: Instant,
     /// Number of other instances that respond.
     responding: u32,
@@ -78,7 +78,7 @@
     /// Creates a directory that contains only this instance.
     pub fn new(own: InstanceEntry) -> Self {
         Self {
-            failure_detector: SilenceBoard::new(own.name.clone(), own.incarnation),
+            failure_detector: FailureDetector::new(own.name.clone(), own.incarnation),
             own,
             ready: false,
             others: BTreeMap::new(),
@@ -120,7 +120,7 @@
         }
         let now = self.created.elapsed();
         let (name, incarnation) = (entry.name.clone(), entry.incarnation);
-        let leaving = entry.leaving;
+        let shutting_down = entry.shutting_down;
         let Some(known) = self.others.get_mut(&name) else {
             let known = KnownInstance {
                 entry,
@@ -129,7 +129,7 @@
             };
             self.others.insert(name.clone(), known);
             self.failure_detector
-                .announce(&name, incarnation, leaving, now);
+                .announce(&name, incarnation, shutting_down, now);
             self.update_counts();
             return true;
         };
@@ -152,7 +152,7 @@
         }
         known.entry = entry;
         self.failure_detector
-            .announce(&name, incarnation, leaving, now);
+            .announce(&name, incarnation, shutting_down, now);
         self.update_counts();
         replaced
     }
@@ -166,7 +166,7 @@
     pub fn note_reachable(&mut self, entry: &InstanceEntry, reachable: bool) {
         let now = self.created.elapsed();
         self.failure_detector
-            .note(&entry.name, entry.incarnation, reachable, now);
+            .record_finding(&entry.name, entry.incarnation, reachable, now);
         self.update_counts();
     }
 
@@ -178,36 +178,38 @@
     }
 
     /// Applies failure suspicions from another instance and returns the response.
-    pub fn handle_message(&mut self, message: SilenceMessage) -> SilenceMessage {
-        let response = self.failure_detector.take(message, self.created.elapsed());
+    pub fn handle_message(&mut self, message: SuspicionMessage) -> SuspicionMessage {
+        let response = self
+            .failure_detector
+            .receive(message, self.created.elapsed());
         self.update_counts();
         response
     }
 
     /// Applies the response of another instance. `joining` tells whether the request
     /// was for all known suspicions.
-    pub fn handle_response(&mut self, response: SilenceMessage, joining: bool) {
+    pub fn handle_response(&mut self, response: SuspicionMessage, joining: bool) {
         self.failure_detector
-            .take_answer(response, self.created.elapsed());
+            .receive_response(response, self.created.elapsed());
         if joining {
-            self.failure_detector.note_joined();
+            self.failure_detector.record_join_response();
         }
         self.update_counts();
     }
 
     /// Whether this instance has failure suspicions to send to others.
     pub fn has_updates(&self) -> bool {
-        self.failure_detector.has_news()
+        self.failure_detector.has_updates()
     }
 
     /// The next message of failure suspicions to send to others.
-    pub fn next_update(&mut self) -> Option<SilenceMessage> {
-        self.failure_detector.next_news()
+    pub fn next_update(&mut self) -> Option<SuspicionMessage> {
+        self.failure_detector.next_update()
     }
 
     /// The next periodic message, which repeats suspicions that others may have
     /// missed.
-    pub fn next_exchange(&mut self) -> SilenceMessage {
+    pub fn next_exchange(&mut self) -> SuspicionMessage {
         self.failure_detector.next_exchange()
     }
 
@@ -218,14 +220,14 @@
 
     /// The processes that this instance monitors.
     pub fn monitored(&self) -> Vec<&InstanceEntry> {
-        let monitored = self.failure_detector.watched().iter();
+        let monitored = self.failure_detector.monitored().iter();
         let known = monitored.filter_map(|name| self.others.get(name));
         known.map(|known| &known.entry).collect()
     }
 
     /// Whether this instance monitors the process that announced `entry`.
     pub fn monitors(&self, entry: &InstanceEntry) -> bool {
-        self.is_current(entry) && self.failure_detector.watched().contains(&entry.name)
+        self.is_current(entry) && self.failure_detector.monitored().contains(&entry.name)
     }
 
     /// Peer addresses of the instances to which this instance sends its failure
@@ -243,7 +245,7 @@
         let mut changed = false;
         let (mut responding, mut possibly_live) = (0_u32, 0_u32);
         for (name, known) in &mut self.others {
-            let unresponsive = self.failure_detector.is_silent(name);
+            let unresponsive = self.failure_detector.is_unresponsive(name);
             if unresponsive != known.unresponsive_since.is_some() {
                 changed = true;
                 // In a small fleet, the monitoring requests of this instance log it.
@@ -329,7 +331,7 @@
     /// This instance, and the others that respond and are not shutting down.
     pub fn responding(&self) -> impl Iterator<Item = &InstanceEntry> {
         let others = self.responding_others();
-        let others = others.filter(|known| !known.entry.leaving);
+        let others = others.filter(|known| !known.entry.shutting_down);
         others.map(|known| &known.entry).chain([&self.own])
     }
 
@@ -370,7 +372,7 @@
             listed.push(&self.own);
         }
         for known in self.responding_others() {
-            if !known.entry.leaving {
+            if !known.entry.shutting_down {
                 listed.push(&known.entry);
             }
         }
--- a/crates/hibiscus-traffic/src/handler.rs
+++ b/crates/hibiscus-traffic/src/handler.rs
@@ -115,7 +115,7 @@
     info: &mut RequestInfo,
 ) -> Result<(AdmittedRequest, ForwardedResponse)> {
     let (head, body) = request.into_parts();
-    let headers = state.dialect.parse_caller_headers(&head.headers);
+    let headers = state.wire_format.parse_caller_headers(&head.headers);
     let headers = headers.map_err(|_fault| LocalReason::BadRequest)?;
     info.id.clone_from(&headers.id);
     if state.is_closing() {
@@ -151,5 +151,5 @@
     state
         .measures
         .record_request_end(info.kind, RequestOutcome::LocalResponse, elapsed);
-    response::local_response(&state.dialect, refusal, &info.id)
+    response::local_response(&state.wire_format, refusal, &info.id)
 }
--- a/crates/hibiscus-traffic/src/handler/admission.rs
+++ b/crates/hibiscus-traffic/src/handler/admission.rs
@@ -56,8 +56,8 @@
     info: &mut RequestInfo,
 ) -> Result<AdmittedRequest> {
     let arrived = info.arrived;
-    if let Some(end) = start::wait_end(arrived, caller_headers.deadline, state.now()) {
-        state.wait_known(end).await;
+    if let Some(end) = start::startup_wait_end(arrived, caller_headers.deadline, state.now()) {
+        state.wait_until_configured(end).await;
     }
     let table = state.table().ok_or(LocalReason::NoConfig)?;
     let host = head.headers.get(header::HOST);
@@ -88,7 +88,7 @@
     info.body_read = true;
     let mut headers = head.headers;
     send::strip_connection_headers(&mut headers);
-    state.dialect.strip_internal_headers(&mut headers);
+    state.wire_format.strip_internal_headers(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     let caller = team.as_ref().map(|team| team.name.clone());
     Ok(AdmittedRequest {
--- a/crates/hibiscus-traffic/src/handler/forwarding.rs
+++ b/crates/hibiscus-traffic/src/handler/forwarding.rs
@@ -264,7 +264,7 @@
         resume_after: None,
     };
     state
-        .dialect
+        .wire_format
         .set_server_headers(&server_headers, &mut headers);
     let outgoing = OutgoingRequest {
         method: &admitted.method,
@@ -307,9 +307,9 @@
                 .borrow()
                 .has_other(&admitted.service, &history.tried)
     };
-    let report = send::send(&state.dialect, in_flight, &outgoing, has_other).await;
+    let report = send::send(&state.wire_format, in_flight, &outgoing, has_other).await;
     if report.draining {
-        state.note_draining(&chosen.server.entry.start(), "answer");
+        state.note_draining(&chosen.server.entry.incarnation(), "answer");
     }
     let attempt = SentAttempt {
         server: chosen.server,
--- a/crates/hibiscus-traffic/tests/parts.rs
+++ b/crates/hibiscus-traffic/tests/parts.rs
@@ -118,7 +118,7 @@
             route("/a/b/", &[("one", 90), ("two", 10)]),
         ],
         engines: Default::default(),
-        left_out: Vec::new(),
+        skipped_routes: Vec::new(),
         connections: Default::default(),
         teams: vec![Arc::new(TeamRule {
             name: "team".into(),
@@ -168,7 +168,7 @@
         peers: address(7_000),
         pin: [0; 32],
         data_centre: "a".into(),
-        leaving: false,
+        shutting_down: false,
         capacity: 500,
     }
 }
@@ -219,7 +219,7 @@
     let mut directory = InstanceDirectory::new(instance(0, 1));
     directory.set_ready(true);
     directory.announce(InstanceEntry {
-        leaving: true,
+        shutting_down: true,
         ..instance(1, 9)
     });
     let successor = instance(1, 3);
@@ -253,7 +253,7 @@
     directory.announce(other.clone());
     directory.note_reachable(&other, true);
     directory.announce(InstanceEntry {
-        leaving: true,
+        shutting_down: true,
         ..other
     });
     assert_eq!(directory.addresses(None), [instance(0, 1).callers]);
