--- a/crates/hibiscus-traffic/src/handler.rs
+++ b/crates/hibiscus-traffic/src/handler.rs
@@ -101,7 +101,7 @@
     drop(pending);
     match outcome {
         Ok((admitted, forwarded)) => {
-            let metrics = Rc::clone(&state.measures);
+            let metrics = Rc::clone(&state.metrics);
             forwarded.into_response(&admitted, progress, metrics)
         }
         Err(response) => response,
@@ -147,9 +147,9 @@
         reason.as_str(),
         elapsed.as_millis()
     );
-    state.measures.count_local_response(reason);
+    state.metrics.count_local_response(reason);
     state
-        .measures
+        .metrics
         .record_request_end(info.kind, RequestOutcome::LocalResponse, elapsed);
     response::local_response(&state.wire_format, refusal, &info.id)
 }
--- a/crates/hibiscus-traffic/src/handler/forwarding.rs
+++ b/crates/hibiscus-traffic/src/handler/forwarding.rs
@@ -210,7 +210,7 @@
                 if !retries.take_retry(&admitted.service, instances, state.now()) {
                     break;
                 }
-                state.measures.count_retry();
+                state.metrics.count_retry();
             }
         }
     }
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -110,7 +110,7 @@
     /// Counts of the work for the fleet.
     pub tally: Rc<WorkTally>,
     /// Counters and histograms.
-    pub measures: Rc<TrafficMetrics>,
+    pub metrics: Rc<TrafficMetrics>,
     /// Finds out which servers ended.
     pub crash_detector: Rc<CrashDetector>,
     /// The requests under which servers ended.
@@ -160,7 +160,7 @@
             ranks: Cell::default(),
             link: RefCell::default(),
             membership_changed: Notify::new(),
-            measures: Rc::default(),
+            metrics: Rc::default(),
             pins: PinSet::default(),
             crash_detector: Rc::default(),
             suspects: Rc::new(parts.suspects),
@@ -479,7 +479,7 @@
 
     /// The thread's timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
-        self.measures.record_timer_delay(delay);
+        self.metrics.record_timer_delay(delay);
         self.pressure.note_lateness(delay);
     }
 
