--- a/crates/hibiscus-traffic/src/handler.rs
+++ b/crates/hibiscus-traffic/src/handler.rs
@@ -45,8 +45,8 @@
     body_read: bool,
 }
 
-/// A request without a response. It is logged when it is dropped, which
-/// happens along with its connection's task when the connection ends.
+/// A request in progress. Dropping it without a response is logged; this happens
+/// when its connection ends, which drops the connection's task.
 struct PendingRequest<'a> {
     info: RequestInfo,
     progress: &'a RequestProgress,
