--- a/crates/hibiscus-routing/src/placement.rs
+++ b/crates/hibiscus-routing/src/placement.rs
@@ -18,7 +18,7 @@
 /// deployments state 38.4 and 39.3.
 const PREFILL_TOKENS_PER_MS: f64 = 38.0;
 /// Weight of prefilling shared parts again: besides its time it takes memory
-/// from the parts of other sessions, and users pay for it.
+/// from the parts of other sessions, and users put a price on it.
 const RECOMPUTE_WEIGHT: f64 = 3.0;
 /// Cost of each request in progress, in milliseconds to the first token: about
 /// one step of the batch.
