--- a/crates/hibiscus-traffic/src/config_delta.rs
+++ b/crates/hibiscus-traffic/src/config_delta.rs
@@ -1,10 +1,10 @@
-//! What differs between two versions of the configuration.
+//! Deltas between two versions of the configuration.
 //!
 //! A version holds all routes and teams, and most changes touch a few of them.
-//! An instance that read a version whole passes on to the others what differs
-//! from the one before, in parts that fit a record of the store. A change
-//! applies to exactly one configuration: the one that follows from all records
-//! of the operators before [`ConfigDelta::base`].
+//! An instance that has read a complete version publishes the delta from the
+//! previous one for the other instances, in parts that fit in records of the
+//! store. A delta applies to exactly one configuration: the one that results
+//! from all of the operators' records before [`ConfigDelta::base`].
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -22,63 +22,67 @@
 use crate::model::RouteRule;
 use crate::model::TeamRule;
 
-/// Format of a change. A release that changes what a configuration holds
-/// raises it, and an instance reads versions whole that come in another one.
-const CHANGE_FORMAT: u16 = 1;
-/// Bytes of a change in one part: a record takes 256 KiB.
+/// Format of a delta. A release that changes the fields of a configuration must
+/// increment it; an instance reads the complete version instead of deltas in
+/// another format.
+const DELTA_FORMAT: u16 = 1;
+/// Bytes of a delta in one part: a record holds up to 256 KiB.
 const PART_BYTES: usize = 200 * 1024;
-/// Parts of the largest change: a call to the store takes 2 MiB.
+/// Most parts of a delta: a call to the store takes up to 2 MiB.
 const PARTS_LIMIT: usize = 8;
 
-/// Why a change cannot be used.
+/// Why a delta can't be published or applied.
 #[derive(Debug, thiserror::Error)]
 pub enum DeltaError {
-    /// It is larger than one call to the store may be.
-    #[error("failed to publish a change of {bytes} bytes: it is too large")]
+    /// The delta exceeds the size of one call to the store.
+    #[error("failed to publish a configuration delta of {bytes} bytes: it is too large")]
     TooLarge {
-        /// Its size.
+        /// Encoded size of the delta.
         bytes: usize,
     },
-    /// It cannot be encoded or decoded.
-    #[error("failed to encode or decode a change")]
+    /// The delta can't be encoded or decoded.
+    #[error("failed to encode or decode a configuration delta")]
     Codec(#[from] CodecError),
-    /// Another release wrote it.
-    #[error("failed to decode a change of format {format}: this release reads {CHANGE_FORMAT}")]
+    /// A release with another format wrote the delta.
+    #[error(
+        "failed to decode a configuration delta of format {format}: this release reads {DELTA_FORMAT}"
+    )]
     OtherFormat {
-        /// The format found.
+        /// Format of the delta.
         format: u16,
     },
-    /// It keeps entries that the configuration does not have.
-    #[error("failed to apply a change: it is not one of this configuration")]
-    NotOfThis,
+    /// The delta refers to entries that the configuration doesn't have.
+    #[error("failed to apply a configuration delta: it belongs to another configuration")]
+    OtherConfig,
 }
 
-/// Result of making or applying a change.
+/// Result of creating or applying a delta.
 pub type Result<T> = std::result::Result<T, DeltaError>;
 
-/// A piece of a list that changed.
+/// An edit that produces entries of the new list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum ListEdit<T> {
-    /// Entries of the list before.
+    /// Copies consecutive entries of the old list.
     Keep {
-        /// Position of the first.
+        /// Position of the first copied entry.
         first: usize,
-        /// How many.
+        /// Number of copied entries.
         count: usize,
     },
-    /// An entry that the list before does not have.
-    Put(T),
+    /// Inserts an entry that the old list doesn't have.
+    Insert(T),
 }
 
-/// What makes one configuration out of another.
+/// The difference that turns one configuration into another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDelta {
-    /// Offset after the last record of the operators that the configuration
-    /// before follows from.
+    /// Offset after the last of the operators' records that the old
+    /// configuration results from.
     pub base: u64,
-    /// The same of the configuration after.
+    /// Offset after the last of the operators' records that the new
+    /// configuration results from.
     pub next: u64,
-    /// Version of the configuration after.
+    /// Version of the new configuration.
     pub version: u64,
     routes: Vec<ListEdit<RouteRule>>,
     teams: Vec<ListEdit<TeamRule>>,
@@ -90,8 +94,8 @@
 }
 
 impl ConfigDelta {
-    /// What makes `after`, which holds at the offset `next`, out of `before`,
-    /// which holds at `base`.
+    /// Computes the delta from `before`, the configuration at offset `base`, to
+    /// `after`, the configuration at offset `next`.
     pub fn between(
         (base, before): (u64, &FleetConfig),
         (next, after): (u64, &FleetConfig),
@@ -110,42 +114,42 @@
         }
     }
 
-    /// The configuration that the change makes out of `before`.
+    /// Applies the delta to `before` and returns the new configuration.
     ///
     /// # Errors
     ///
-    /// Fails when `before` is not the configuration that the change is of, so
-    /// far as that shows.
+    /// Fails if `before` lacks entries that the delta copies. Other differences
+    /// from the configuration that the delta was computed for go unnoticed.
     pub fn apply(self, before: &FleetConfig) -> Result<FleetConfig> {
         Ok(FleetConfig {
             version: self.version,
-            routes: edited(&before.routes, self.routes)?,
+            routes: apply_edits(&before.routes, self.routes)?,
             skipped_routes: self.skipped_routes,
             engines: self.engines,
             connections: self.connections,
-            teams: edited(&before.teams, self.teams)?,
+            teams: apply_edits(&before.teams, self.teams)?,
             needs_key: self.needs_key,
             limits: self.limits,
         })
     }
 
-    /// The records that carry the change.
+    /// Encodes the delta as records of the store.
     ///
     /// # Errors
     ///
-    /// Fails when it is too large for one call to the store.
+    /// Fails if the delta is too large for one call to the store.
     pub fn to_records(&self) -> Result<Vec<Vec<u8>>> {
         let bytes = codec::encode(self)?;
-        let of = bytes.len().div_ceil(PART_BYTES);
-        if of > PARTS_LIMIT {
+        let part_count = bytes.len().div_ceil(PART_BYTES);
+        if part_count > PARTS_LIMIT {
             return Err(DeltaError::TooLarge { bytes: bytes.len() });
         }
-        let mut records = Vec::with_capacity(of);
+        let mut records = Vec::with_capacity(part_count);
         for (number, bytes) in bytes.chunks(PART_BYTES).enumerate() {
-            records.push(codec::encode(&ChangePart {
-                format: CHANGE_FORMAT,
+            records.push(codec::encode(&DeltaPart {
+                format: DELTA_FORMAT,
                 number,
-                of,
+                part_count,
                 bytes,
             })?);
         }
@@ -153,8 +157,8 @@
     }
 }
 
-/// The edits that make `after` out of `before`; `name` tells which entries may
-/// be the same.
+/// Computes the edits that turn `before` into `after`. Entries with the same
+/// `name` are compared.
 fn edits<T: Clone + PartialEq>(
     before: &[Arc<T>],
     after: &[Arc<T>],
@@ -168,7 +172,7 @@
     for entry in after {
         let kept = positions.get(name(entry)).copied();
         let Some(position) = kept.filter(|position| before[*position] == *entry) else {
-            edits.push(ListEdit::Put(T::clone(entry)));
+            edits.push(ListEdit::Insert(T::clone(entry)));
             continue;
         };
         if let Some(ListEdit::Keep { first, count }) = edits.last_mut()
@@ -185,49 +189,49 @@
     edits
 }
 
-/// The list that `edits` make out of `before`.
-fn edited<T>(before: &[Arc<T>], edits: Vec<ListEdit<T>>) -> Result<Vec<Arc<T>>> {
+/// Applies `edits` to `before`.
+fn apply_edits<T>(before: &[Arc<T>], edits: Vec<ListEdit<T>>) -> Result<Vec<Arc<T>>> {
     let mut after = Vec::with_capacity(before.len());
     for edit in edits {
         match edit {
-            ListEdit::Put(entry) => after.push(Arc::new(entry)),
+            ListEdit::Insert(entry) => after.push(Arc::new(entry)),
             ListEdit::Keep { first, count } => {
                 let kept = first
                     .checked_add(count)
                     .and_then(|end| before.get(first..end));
-                after.extend_from_slice(kept.ok_or(DeltaError::NotOfThis)?);
+                after.extend_from_slice(kept.ok_or(DeltaError::OtherConfig)?);
             }
         }
     }
     Ok(after)
 }
 
-/// A part of an encoded change, as a record holds it.
+/// A part of an encoded delta, as stored in a record.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct ChangePart<'a> {
+struct DeltaPart<'a> {
     format: u16,
     number: usize,
-    of: usize,
+    part_count: usize,
     bytes: &'a [u8],
 }
 
-/// Puts changes together out of the records that carry them.
+/// Assembles deltas from the records that contain them.
 #[derive(Clone, Debug, Default)]
 pub struct DeltaAssembler {
     bytes: Vec<u8>,
-    /// Parts of the present change that came.
+    /// Number of parts received of the current delta.
     parts: usize,
 }
 
 impl DeltaAssembler {
-    /// Takes the next record; the change that it completes.
+    /// Adds the next record and returns the delta that it completes, if any.
     ///
     /// # Errors
     ///
-    /// Fails when the record, or the change, cannot be decoded.
+    /// Fails if the record or the completed delta can't be decoded.
     pub fn take(&mut self, record: &[u8]) -> Result<Option<ConfigDelta>> {
-        let part: ChangePart<'_> = codec::decode_borrowed(record)?;
-        if part.format != CHANGE_FORMAT {
+        let part: DeltaPart<'_> = codec::decode_borrowed(record)?;
+        if part.format != DELTA_FORMAT {
             return Err(DeltaError::OtherFormat {
                 format: part.format,
             });
@@ -236,13 +240,13 @@
             self.bytes.clear();
             self.parts = 0;
         }
-        // The beginning of the change was not read.
+        // The first parts of the delta were not read.
         if part.number != self.parts {
             return Ok(None);
         }
         self.bytes.extend_from_slice(part.bytes);
         self.parts += 1;
-        if self.parts < part.of {
+        if self.parts < part.part_count {
             return Ok(None);
         }
         self.parts = 0;
--- a/crates/hibiscus-traffic/src/machine.rs
+++ b/crates/hibiscus-traffic/src/machine.rs
@@ -1,60 +1,61 @@
-//! What the machine gives the process, and how much of it is used.
+//! Resource limits of the process and its resource usage.
 
 use std::fs;
 use std::time::Duration;
 
-/// File that tells the memory of this process.
+/// File with the memory usage of this process.
 const STATUS_PATH: &str = "/proc/self/status";
-/// Field of the resident memory there, in KiB.
+/// Field of the resident memory in [`STATUS_PATH`], in KiB.
 const RESIDENT_FIELD: &str = "VmRSS:";
-/// File that tells the processor time of this process.
-const TIMES_PATH: &str = "/proc/self/stat";
-/// Position of the time in the program there, counted after the program's
-/// name; that in the system follows.
-const PROGRAM_TIME: usize = 11;
-/// Milliseconds of one unit there, the same on all Linux systems.
-const TIME_UNIT_MS: u64 = 10;
+/// File with the processor time of this process.
+const STAT_PATH: &str = "/proc/self/stat";
+/// Index of the user time among the fields after the program's name in
+/// [`STAT_PATH`]. The system time follows it.
+const USER_TIME_INDEX: usize = 11;
+/// Milliseconds in a clock tick of [`STAT_PATH`], the same on all Linux systems.
+const CLOCK_TICK_MS: u64 = 10;
 
-/// What the machine gives the process.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MachineLimits {
     /// Memory beyond which the process is killed, in bytes.
     pub memory_bytes: usize,
-    /// Open descriptors.
+    /// Most open file descriptors.
     pub descriptors: usize,
-    /// Cores that the process gets.
+    /// Processor cores that the process may use.
     pub cores: f64,
 }
 
-/// What the process uses.
+/// Resource usage of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MachineUse {
-    /// Resident memory in bytes; 0 when the system does not tell it.
+    /// Resident memory in bytes; 0 if the system doesn't report it.
     pub resident_bytes: usize,
-    /// Processor time of all threads since the start, to 10 ms.
+    /// Processor time of all threads since the start, with a resolution of
+    /// 10 ms.
     pub processor: Duration,
 }
 
 impl MachineUse {
-    /// The present use.
+    /// Reads the current usage from the system.
     pub fn read() -> Self {
         let status = fs::read_to_string(STATUS_PATH).unwrap_or_default();
-        let times = fs::read_to_string(TIMES_PATH).unwrap_or_default();
+        let stat = fs::read_to_string(STAT_PATH).unwrap_or_default();
         Self {
             resident_bytes: resident_bytes(&status),
-            processor: processor_time(&times),
+            processor: processor_time(&stat),
         }
     }
 }
 
-/// Resident memory of the process in bytes; `None` when the system does not
-/// tell it.
+/// Returns the resident memory of the process in bytes, or `None` if the system
+/// doesn't report it.
 pub fn resident() -> Option<usize> {
     let status = fs::read_to_string(STATUS_PATH).ok()?;
     Some(resident_bytes(&status)).filter(|bytes| *bytes > 0)
 }
 
-/// The resident memory that the text of a status file tells.
+/// Parses the resident memory in bytes from the text of a status file.
 fn resident_bytes(status: &str) -> usize {
     let field = status
         .lines()
@@ -64,41 +65,43 @@
     kibibytes * 1024
 }
 
-/// The processor time that the text of a times file tells. The program's name,
-/// in parentheses, may hold any character.
-fn processor_time(times: &str) -> Duration {
-    let fields = times.rsplit_once(')').map_or("", |(_name, fields)| fields);
-    let spent = fields.split_whitespace().skip(PROGRAM_TIME).take(2);
-    let units: u64 = spent.filter_map(|field| field.parse::<u64>().ok()).sum();
-    Duration::from_millis(units * TIME_UNIT_MS)
+/// Parses the processor time from the text of a stat file. The program's name,
+/// in parentheses, may contain any character.
+fn processor_time(stat: &str) -> Duration {
+    let fields = stat.rsplit_once(')').map_or("", |(_name, fields)| fields);
+    let spent = fields.split_whitespace().skip(USER_TIME_INDEX).take(2);
+    let ticks: u64 = spent.filter_map(|field| field.parse::<u64>().ok()).sum();
+    Duration::from_millis(ticks * CLOCK_TICK_MS)
 }
 
-/// Tells once when a level reaches a mark, and again only after it has been
-/// below a lower one, so that a level at the mark is told no more often.
+/// Fires once when a level reaches the high threshold, and again only after the
+/// level was below the low threshold. A level that stays near the high threshold
+/// therefore fires only once.
 #[derive(Clone, Copy, Debug)]
 pub struct ThresholdTrigger {
     high: f64,
     low: f64,
-    raised: bool,
+    active: bool,
 }
 
 impl ThresholdTrigger {
-    /// Watches for `high`, and for `low` after it.
+    /// Creates a trigger with the thresholds `high` and `low`.
     pub const fn new(high: f64, low: f64) -> Self {
         Self {
             high,
             low,
-            raised: false,
+            active: false,
         }
     }
 
-    /// Whether `level` has reached the mark since it was low.
+    /// Whether `level` reaches the high threshold for the first time since it
+    /// was below the low one.
     pub fn fires(&mut self, level: f64) -> bool {
         if level < self.low {
-            self.raised = false;
+            self.active = false;
         }
-        let fires = !self.raised && level >= self.high;
-        self.raised |= fires;
+        let fires = !self.active && level >= self.high;
+        self.active |= fires;
         fires
     }
 }
--- a/crates/hibiscus-traffic/src/members.rs
+++ b/crates/hibiscus-traffic/src/members.rs
@@ -1,9 +1,10 @@
-//! Has other instances watched, and passes on what watchers find.
+//! Runs the monitoring of other instances and the exchange of failure
+//! suspicions.
 //!
-//! Which of them this instance watches and what it must tell, the directory
-//! decides ([`hibiscus_membership::detector`]); here are the tasks and the
-//! times. News go to the contacts at once, and again after a pause; an
-//! exchange with one of them repairs what got lost.
+//! The directory decides which instances this one monitors and what it must
+//! send ([`hibiscus_membership::detector`]); this module holds the tasks and
+//! their timing. Updates are sent to the contacts at once and again after a
+//! pause; a periodic exchange with one contact repairs lost messages.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -21,47 +22,52 @@
 use crate::probe;
 use crate::state::TrafficState;
 
-/// Least time between two messages of news to a contact: findings that come
-/// together go together, and the loss of many machines costs no more.
-const NEWS_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two exchanges that repair.
-const EXCHANGE_PAUSE: Duration = Duration::from_secs(2);
+/// Minimum time between two updates to a contact: simultaneous findings share a
+/// message, and the loss of many machines at once costs no more messages.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two exchanges that repair lost messages.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The processes that are asked now.
-type RunningWatches = Rc<RefCell<BTreeSet<IncarnationId>>>;
+/// The processes that are being monitored.
+type RunningMonitors = Rc<RefCell<BTreeSet<IncarnationId>>>;
 
-/// Watches others at `path` for as long as the runtime runs.
+/// Monitors other instances at the readiness path `path` and exchanges
+/// suspicions, for as long as the runtime runs.
 pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>, path: &'static str) {
-    let running = RunningWatches::default();
-    let mut next_news = Instant::now();
-    let mut next_exchange = Instant::now() + EXCHANGE_PAUSE;
+    let running = RunningMonitors::default();
+    let mut next_update = Instant::now();
+    let mut next_exchange = Instant::now() + EXCHANGE_INTERVAL;
     loop {
-        let has_news = state.directory.borrow().has_news();
-        let due = if has_news { next_news } else { next_exchange };
+        let has_updates = state.directory.borrow().has_news();
+        let due = if has_updates {
+            next_update
+        } else {
+            next_exchange
+        };
         tokio::select! {
             () = state.membership_changed.notified() => {}
             () = tokio::time::sleep_until(due) => {}
         }
-        start_watches(&state, &running, path);
+        start_monitors(&state, &running, path);
         let now = Instant::now();
-        if now >= next_news {
-            let news = state.directory.borrow_mut().next_news();
-            if let Some(message) = news {
-                tell_contacts(&state, &message);
-                next_news = now + NEWS_PAUSE;
+        if now >= next_update {
+            let update = state.directory.borrow_mut().next_news();
+            if let Some(message) = update {
+                send_to_contacts(&state, &message);
+                next_update = now + UPDATE_INTERVAL;
             }
         }
         if now >= next_exchange {
-            next_exchange = now + EXCHANGE_PAUSE;
+            next_exchange = now + EXCHANGE_INTERVAL;
             exchange(&state);
         }
     }
 }
 
-/// Starts to ask those that this instance is to watch and does not yet.
-fn start_watches<D: RequestDialect>(
+/// Starts monitoring the instances that this one must monitor and doesn't yet.
+fn start_monitors<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
-    running: &RunningWatches,
+    running: &RunningMonitors,
     path: &'static str,
 ) {
     let directory = state.directory.borrow();
@@ -69,33 +75,33 @@
         if !running.borrow_mut().insert(entry.incarnation) {
             continue;
         }
-        let watch = watch(Rc::clone(state), entry.clone(), path, Rc::clone(running));
-        tokio::task::spawn_local(watch);
+        let task = monitor(Rc::clone(state), entry.clone(), path, Rc::clone(running));
+        tokio::task::spawn_local(task);
     }
 }
 
-/// Asks one process for as long as this instance is to watch it.
-async fn watch<D: RequestDialect>(
+/// Monitors one process for as long as this instance must.
+async fn monitor<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     entry: InstanceEntry,
     path: &'static str,
-    running: RunningWatches,
+    running: RunningMonitors,
 ) {
     let incarnation = entry.incarnation;
     probe::watch(Rc::clone(&state), entry, path).await;
     running.borrow_mut().remove(&incarnation);
-    // It may have become one to watch again since the last look.
+    // The process may have become one to monitor again since the last check.
     state.membership_changed.notify_one();
 }
 
-/// Passes news on to all contacts.
-fn tell_contacts<D: RequestDialect>(state: &Rc<TrafficState<D>>, message: &SuspicionMessage) {
+/// Sends an update to all contacts.
+fn send_to_contacts<D: RequestDialect>(state: &Rc<TrafficState<D>>, message: &SuspicionMessage) {
     for contact in state.directory.borrow().contacts() {
-        tokio::task::spawn_local(tell(Rc::clone(state), contact, message.clone()));
+        tokio::task::spawn_local(send(Rc::clone(state), contact, message.clone()));
     }
 }
 
-/// Repairs what one of the contacts and this instance missed.
+/// Exchanges suspicions with one contact, so that both receive what they missed.
 fn exchange<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
     let mut directory = state.directory.borrow_mut();
     let contact = fastrand::choice(directory.contacts());
@@ -103,11 +109,11 @@
         return;
     };
     let message = directory.next_exchange();
-    tokio::task::spawn_local(tell(Rc::clone(state), contact, message));
+    tokio::task::spawn_local(send(Rc::clone(state), contact, message));
 }
 
-/// Tells one instance, and takes its answer over.
-async fn tell<D: RequestDialect>(
+/// Sends a message to one instance and merges its response.
+async fn send<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
     message: SuspicionMessage,
@@ -116,9 +122,9 @@
         return;
     };
     let joining = message.joining;
-    let Some(answer) = peers::send_suspicions(&link, contact, message).await else {
+    let Some(response) = peers::send_suspicions(&link, contact, message).await else {
         return;
     };
-    state.directory.borrow_mut().take_answer(answer, joining);
+    state.directory.borrow_mut().take_answer(response, joining);
     state.membership_changed.notify_one();
 }
--- a/crates/hibiscus-traffic/src/model.rs
+++ b/crates/hibiscus-traffic/src/model.rs
@@ -1,4 +1,4 @@
-//! What the request path is told: configuration, servers and instances.
+//! Configuration, servers and instances as the request path uses them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What may be repeated of a request.
+/// Whether a request may be repeated, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// May run once at most.
+    /// The request may run at most once.
     Once,
-    /// A stream that may run once at most.
+    /// A stream that may run at most once.
     Stream,
-    /// A stream that another server may continue after an event.
+    /// A stream that another server may resume after any event.
     ResumableStream,
 }
 
@@ -35,7 +35,7 @@
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
@@ -44,125 +44,128 @@
 /// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share is this over the sum of the route's weights.
+    /// The service's share of the requests is this weight over the sum of the
+    /// route's weights.
     pub weight: u32,
 }
 
-/// One route.
+/// A route of requests to services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteRule {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// Host that it answers to.
+    /// Host name that requests must have.
     pub host: String,
-    /// The beginning of the paths that it takes; ends with a slash.
+    /// Prefix that the paths of requests must have; ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RequestKind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time that a caller waits for the response.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency within which a response has its full value.
     pub target_latency: Duration,
-    /// 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u8,
-    /// Where its requests go.
+    /// Services that requests are distributed to.
     pub services: Vec<WeightedService>,
-    /// Servers that one request may be sent to.
+    /// Number of servers that one request may be sent to.
     pub attempts: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
 }
 
-/// Engines of one service.
+/// Capacity of the model engines of one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineShape {
-    /// Requests that an engine serves at once.
+    /// Number of requests that an engine serves at once.
     pub slots: u32,
-    /// Tokens that an engine's memory holds.
+    /// Number of tokens that fit in an engine's memory.
     pub memory_tokens: u64,
-    /// Output tokens in one event of a stream.
+    /// Number of output tokens in one event of a stream.
     pub tokens_per_event: u64,
 }
 
-/// One team.
+/// A team with its keys and budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamRule {
-    /// Its name.
+    /// Name of the team.
     pub name: TeamName,
-    /// Its keys.
+    /// Keys that authenticate the team's requests.
     pub keys: Vec<String>,
-    /// Goes before the priority of a route.
+    /// Priority that overrides the priority of routes.
     pub priority: Option<u8>,
-    /// Tokens paid for; `None` when the team has no budget.
+    /// Prepaid tokens; `None` if the team has no budget.
     pub prepaid: Option<TokenCount>,
 }
 
-/// Limits on callers.
+/// Limits on callers' connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Longest head of a request, in bytes.
+    /// Largest head of a request, in bytes.
     pub header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time for a head.
+    /// Time within which the head of a request must arrive.
     pub header_timeout: Duration,
     /// Time for which a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// One version of the configuration.
+/// One version of the fleet's configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetConfig {
-    /// Grows with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Arc<RouteRule>>,
-    /// Names of routes that were left out, since their kind is not known here.
+    /// Names of routes that were skipped since this release doesn't know their
+    /// kind.
     pub skipped_routes: Vec<String>,
-    /// Services whose servers are model engines.
+    /// Engine capacities of the services whose servers are model engines.
     pub engines: BTreeMap<ServiceName, EngineShape>,
-    /// Connections that a server of a service accepts from all callers.
+    /// Connections that a server of each service accepts in total.
     pub connections: BTreeMap<ServiceName, u32>,
     /// The teams.
     pub teams: Vec<Arc<TeamRule>>,
-    /// Whether requests need a key.
+    /// Whether requests need a key, unless their route is anonymous.
     pub needs_key: bool,
     /// Limits on callers.
     pub limits: CallerLimits,
 }
 
-/// Whether a server takes new requests.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerPhase {
-    /// It does.
+    /// The server accepts new requests.
     Serving,
-    /// It is leaving.
+    /// The server is draining.
     Leaving,
 }
 
-/// A backend server as it describes itself.
+/// A backend server's description of itself in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Its name.
+    /// Name of the server.
     pub name: ServerName,
-    /// Its service.
+    /// Service of the server.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// Whether it takes new requests.
+    /// Whether the server accepts new requests.
     pub phase: ServerPhase,
-    /// Requests that it serves at once.
+    /// Number of requests that the server serves at once.
     pub slots: u32,
-    /// Time of its start; another time is another server.
+    /// Start time of the server's process. An entry with another start time
+    /// belongs to another process.
     pub started: u64,
 }
 
 impl ServerEntry {
-    /// Its process.
+    /// Returns the incarnation that wrote the entry.
     pub fn incarnation(&self) -> ServerIncarnation {
         ServerIncarnation {
             server: self.name.clone(),
@@ -171,54 +174,56 @@
     }
 }
 
-/// One process of a server: one that starts anew is another.
+/// One process of a server. A restart creates a new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerIncarnation {
-    /// The server's name.
+    /// Name of the server.
     pub server: ServerName,
-    /// When it had begun, in its own time.
+    /// Start time of the process by the server's own clock.
     pub started: u64,
 }
 
-/// Load that a server reports with an answer.
+/// Load that a server reports in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoadReport {
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub running: u32,
-    /// Requests that wait for a place.
+    /// Number of requests that wait for a slot.
     pub waiting: u32,
-    /// Places.
+    /// Number of slots.
     pub slots: u32,
 }
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its number; requests with the same share it.
+    /// Identifier of the part, shared by all requests whose prompts contain it.
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens in the part.
     pub tokens: u64,
 }
 
-/// An instance as it announces itself.
+/// An instance's announcement of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceEntry {
-    /// Its name.
+    /// Name of the instance.
     pub name: InstanceName,
-    /// Its process.
+    /// Identifier of the instance's process.
     pub incarnation: IncarnationId,
-    /// Where it takes callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Where it answers its readiness check.
+    /// Address of the readiness check.
     pub readiness: SocketAddr,
-    /// Where it answers other instances.
+    /// Address of the peer link.
     pub peers: SocketAddr,
-    /// Fingerprint of the certificate that it presents to them.
+    /// Fingerprint of the certificate that the instance presents on the peer
+    /// link.
     pub pin: CertificatePin,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: DataCentre,
-    /// Whether it has begun a planned stop.
+    /// Whether the instance has begun a graceful shutdown.
     pub shutting_down: bool,
-    /// Processor time that its machine gives it, in thousandths of a core.
+    /// Processor time that the machine grants the instance, in thousandths of a
+    /// core.
     pub capacity: u32,
 }
--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -1,13 +1,14 @@
-//! What instances ask each other for.
+//! Requests and responses between instances.
 //!
-//! An instance that does not hold a budget asks a holder for what a request
-//! needs, and brings back what is left ([`crate::supply`]); so does a holder that
-//! cannot draw. Who gives tokens counts them as spent before it answers, so a
-//! reply that is lost loses tokens and spends none twice. Who closes accounts of
-//! processes that ended asks who has their ports now, and for the time of day
-//! ([`crate::recovery`]). Watchers pass on who is silent
-//! ([`crate::members`]). Who finds that a server has ended tells that
-//! ([`crate::suspects`]).
+//! - An instance that doesn't hold a budget, or a holder that can't draw,
+//!   requests the tokens for a request from a holder and later returns what
+//!   remains ([`crate::supply`]). The holder counts the tokens as spent before it
+//!   responds, so a lost response loses tokens but spends none twice.
+//! - An instance that closes the accounts of ended processes requests which
+//!   process has their ports now, and the time of day ([`crate::recovery`]).
+//! - Monitors send failure suspicions ([`crate::members`]).
+//! - An instance that detects the crash of a server reports it to the others
+//!   ([`crate::suspects`]).
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -34,111 +35,112 @@
 use crate::supply;
 use crate::suspects::EndingNews;
 
-/// Calls that wait to be answered.
+/// Received requests that can wait for their responses.
 pub const REQUEST_QUEUE_CAPACITY: usize = 256;
-/// Time for an answer that no request waits for: machines that start together
-/// are slow to accept connections.
-const TIME_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout of calls that no caller waits for: machines that start together are
+/// slow to accept connections.
+const BACKGROUND_CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A question to another instance.
+/// A request to another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Asked by releases before this one, and answered with none: a holder asks
-    /// for what a request needs, as others do.
+    /// Sent by earlier releases only. The response grants no tokens, since a
+    /// holder now requests what a single request needs, as other instances do.
     Tokens {
-        /// The budget.
+        /// The budget to take the tokens from.
         budget: BudgetName,
-        /// The most that is asked for.
+        /// The most tokens that the requester accepts.
         tokens: TokenCount,
     },
-    /// Tells the time of day of the machine.
+    /// Requests the time of day of the machine.
     TimeOfDay,
-    /// Asks a holder of a budget for what one request needs.
+    /// Requests the tokens for one request from a holder of the budget.
     Reserve {
-        /// The budget.
+        /// The budget to take the tokens from.
         budget: BudgetName,
-        /// Tokens asked for; fewer are of no use.
+        /// Tokens that the request needs; fewer are of no use.
         tokens: TokenCount,
     },
-    /// Brings back what requests left of tokens that a holder passed on.
+    /// Returns transferred tokens that requests didn't use to a holder.
     Return {
-        /// The budget.
+        /// The budget that the tokens belong to.
         budget: BudgetName,
-        /// The tokens.
+        /// The tokens to return.
         tokens: TokenCount,
     },
-    /// Takes over which instances are silent.
+    /// Exchanges failure suspicions.
     Suspicions(SuspicionMessage),
-    /// Takes over which servers ended, and under which requests.
+    /// Reports crashed servers and the requests under which they crashed.
     Crashes(EndingNews),
-    /// Tells which process answers for the instance.
+    /// Requests the identity of the process that runs the instance.
     Process,
 }
 
-/// The process that answers for an instance. It holds the instance's ports, so
-/// all others that ever did have ended.
+/// The process that responds for an instance. It holds the instance's ports, so
+/// all processes that held them before have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerProcess {
-    /// Its name.
+    /// Identifier of the process.
     pub incarnation: IncarnationId,
-    /// The machine's clocks when it had the ports.
+    /// The machine's clocks when the process had opened the ports.
     pub started_at: MachineTime,
-    /// Milliseconds since then.
+    /// Milliseconds since `started_at`.
     pub age_ms: u64,
 }
 
-/// The answer to a question.
+/// The response to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The answer to [`PeerRequest::Tokens`].
+    /// The response to [`PeerRequest::Tokens`].
     Tokens(TokenCount),
     /// Milliseconds since the Unix epoch.
     TimeOfDay(u64),
-    /// The tokens were passed on.
+    /// The tokens were transferred.
     Reserved(TokenCount),
-    /// They cannot be had from this holder.
+    /// The holder didn't transfer or take back the tokens.
     Refused(TokenRefusal),
-    /// Tokens came back.
+    /// The holder took the tokens back.
     Returned,
-    /// Which instances are silent.
+    /// Failure suspicions held by the responding instance.
     Suspicions(SuspicionMessage),
-    /// The news of servers that ended were taken over.
+    /// The reported crashes were recorded.
     CrashesRecorded,
-    /// The process that answers.
+    /// The process that responds.
     Process(PeerProcess),
 }
 
-/// Answers other instances for as long as the runtime runs.
+/// Responds to requests of other instances for as long as the runtime runs.
 pub async fn answer_peer_requests<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
     mut calls: mpsc::Receiver<PinnedCall>,
 ) {
     while let Some(call) = calls.recv().await {
         state.tally.link_requests.add();
-        let question = match codec::decode::<PeerRequest>(&call.body) {
-            Ok(question) => question,
+        let request = match codec::decode::<PeerRequest>(&call.body) {
+            Ok(request) => request,
             Err(error) => {
                 event!(EventCode::QuestionUnreadable, "cause={error}");
                 continue;
             }
         };
-        // What is given to a peer that has left is lost.
-        let brings = matches!(question, PeerRequest::Return { .. });
-        if !brings && !call.is_caller_waiting() {
+        // Tokens transferred to a peer that no longer waits would be lost.
+        let returns_tokens = matches!(request, PeerRequest::Return { .. });
+        if !returns_tokens && !call.is_caller_waiting() {
             continue;
         }
-        tokio::task::spawn_local(answer_call(Rc::clone(&state), question, call));
+        tokio::task::spawn_local(serve_request(Rc::clone(&state), request, call));
     }
 }
 
-/// Answers one call; a draw may take some time.
-async fn answer_call<D: RequestDialect>(
+/// Responds to one request. Each runs as a task, since a draw may take some
+/// time.
+async fn serve_request<D: RequestDialect>(
     state: Rc<TrafficState<D>>,
-    question: PeerRequest,
+    request: PeerRequest,
     call: PinnedCall,
 ) {
-    let answer = answer(&state, &question).await;
-    let body = match codec::encode(&answer) {
+    let response = respond(&state, &request).await;
+    let body = match codec::encode(&response) {
         Ok(body) => body,
         Err(error) => {
             event!(EventCode::AnswerNotEncoded, "cause={error}");
@@ -148,20 +150,20 @@
     if call.reply(body) {
         return;
     }
-    // The asker has left and got nothing, so nothing was passed on.
+    // The requester no longer waits, so it received no tokens.
     if let (PeerRequest::Reserve { budget, .. }, PeerResponse::Reserved(tokens)) =
-        (&question, &answer)
+        (&request, &response)
     {
         state.budgets.refund(budget, *tokens);
     }
 }
 
-/// Decides on one question.
-async fn answer<D: RequestDialect>(
+/// Handles one request and returns its response.
+async fn respond<D: RequestDialect>(
     state: &Rc<TrafficState<D>>,
-    question: &PeerRequest,
+    request: &PeerRequest,
 ) -> PeerResponse {
-    match question {
+    match request {
         PeerRequest::Tokens { .. } => PeerResponse::Tokens(TokenCount::ZERO),
         PeerRequest::Process => {
             let (incarnation, started_at, age) = state.budgets.process_start();
@@ -187,9 +189,9 @@
         }
         PeerRequest::Suspicions(message) => {
             let mut directory = state.directory.borrow_mut();
-            let answer = directory.take_message(message.clone());
+            let response = directory.take_message(message.clone());
             state.membership_changed.notify_one();
-            PeerResponse::Suspicions(answer)
+            PeerResponse::Suspicions(response)
         }
         PeerRequest::Crashes(news) => {
             state.take_endings(news);
@@ -198,52 +200,53 @@
     }
 }
 
-/// Asks the process that answers for an instance who it is; `None` when it does
-/// not answer.
+/// Requests the identity of the process that runs an instance; returns `None`
+/// without a response.
 pub async fn request_process(link: &PinnedLink, peer: SocketAddr) -> Option<PeerProcess> {
-    match ask(link, peer, &PeerRequest::Process, TIME_LIMIT).await? {
+    match send_request(link, peer, &PeerRequest::Process, BACKGROUND_CALL_TIMEOUT).await? {
         PeerResponse::Process(process) => Some(process),
         _other => None,
     }
 }
 
-/// Asks one instance for its time of day, in milliseconds since the Unix
-/// epoch; `None` when it does not answer.
+/// Requests the time of day of an instance, in milliseconds since the Unix
+/// epoch; returns `None` without a response.
 pub async fn request_time_of_day(link: &PinnedLink, peer: SocketAddr) -> Option<u64> {
-    match ask(link, peer, &PeerRequest::TimeOfDay, TIME_LIMIT).await? {
+    match send_request(link, peer, &PeerRequest::TimeOfDay, BACKGROUND_CALL_TIMEOUT).await? {
         PeerResponse::TimeOfDay(millis) => Some(millis),
         _other => None,
     }
 }
 
-/// Tells one instance which others are silent; `None` when it does not answer.
+/// Sends failure suspicions to an instance and returns those that it responds
+/// with; returns `None` without a response.
 pub async fn send_suspicions(
     link: &PinnedLink,
     peer: SocketAddr,
     message: SuspicionMessage,
 ) -> Option<SuspicionMessage> {
-    let question = PeerRequest::Suspicions(message);
-    match ask(link, peer, &question, TIME_LIMIT).await? {
-        PeerResponse::Suspicions(answer) => Some(answer),
+    let request = PeerRequest::Suspicions(message);
+    match send_request(link, peer, &request, BACKGROUND_CALL_TIMEOUT).await? {
+        PeerResponse::Suspicions(response) => Some(response),
         _other => None,
     }
 }
 
-/// Tells one instance which servers ended; false when it does not answer.
+/// Reports crashed servers to an instance; returns false without a response.
 pub async fn send_crashes(link: &PinnedLink, peer: SocketAddr, news: &EndingNews) -> bool {
-    let question = PeerRequest::Crashes(news.clone());
-    let answer = ask(link, peer, &question, TIME_LIMIT).await;
-    answer == Some(PeerResponse::CrashesRecorded)
+    let request = PeerRequest::Crashes(news.clone());
+    let response = send_request(link, peer, &request, BACKGROUND_CALL_TIMEOUT).await;
+    response == Some(PeerResponse::CrashesRecorded)
 }
 
-/// Asks one instance.
-pub(crate) async fn ask(
+/// Sends one request and waits up to `limit` for the response.
+pub(crate) async fn send_request(
     link: &PinnedLink,
     peer: SocketAddr,
-    question: &PeerRequest,
+    request: &PeerRequest,
     limit: Duration,
 ) -> Option<PeerResponse> {
-    let body = codec::encode(question).ok()?;
-    let reply = link.call(peer, &body, limit).await?;
-    codec::decode(&reply).ok()
+    let body = codec::encode(request).ok()?;
+    let response = link.call(peer, &body, limit).await?;
+    codec::decode(&response).ok()
 }
--- a/crates/hibiscus-traffic/src/relays.rs
+++ b/crates/hibiscus-traffic/src/relays.rs
@@ -1,10 +1,11 @@
-//! Which instances read the operators' topic as records come.
+//! Selects the instances that read the operators' topic for the others.
 //!
-//! A version of the configuration may be large, and the store's rate and the
-//! links of small machines are not. So a few instances wait for records of the
-//! operators, and the others for the changes that these publish
-//! ([`crate::config_delta`]). The order may differ between instances for moments:
-//! each instance reads a version itself when no change comes in time.
+//! A version of the configuration may be large, while the store's throughput
+//! and the links of small machines are limited. A few instances, the relays,
+//! therefore wait for the operators' records, and the others wait for the
+//! deltas that the relays publish ([`crate::config_delta`]). Instances may
+//! briefly disagree on the order of the relays; an instance that receives no
+//! delta in time reads the complete version itself.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -14,15 +15,14 @@
 
 use crate::model::InstanceEntry;
 
-/// Instances that wait for records of the operators: enough that two may fail
-/// at once.
+/// Number of relays: enough that two may fail at once.
 pub const RELAY_COUNT: usize = 3;
-/// What the instances are ordered for.
+/// Hash input that makes the order of the relays differ from other rankings.
 const SUBJECT: &[u8] = b"configuration";
 
-/// How many of the instances that answer come before `own` as a relay: those
-/// with the most capacity come first, one of each data centre before the
-/// second of any.
+/// Returns how many responsive instances rank before `own` as a relay.
+/// Instances with the most capacity come first, and one of each data centre
+/// comes before the second of any.
 pub fn rank_of<'a>(
     own: &InstanceName,
     answering: impl Iterator<Item = &'a InstanceEntry>,
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the traffic thread share.
+//! State shared by the tasks of the traffic thread.
 
 mod holding;
 pub mod start;
@@ -43,7 +43,7 @@
 use crate::servers::ServerPool;
 use crate::shares::MemoryShares;
 use crate::state::holding::HeldRanks;
-use crate::state::start::StartWatch;
+use crate::state::start::StartupProgress;
 use crate::suspects::SuspectDesk;
 use crate::table::RouteTable;
 use crate::tally::WorkTally;
@@ -51,59 +51,60 @@
 use crate::updates::TrafficUpdate;
 use crate::usage_log::UsageLogger;
 
-/// Time for a head while no configuration is known: the usual limit.
-const FIRST_HEAD_LIMIT: Duration = Duration::from_secs(3);
+/// Timeout of request heads before a configuration is active: the usual
+/// setting.
+const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the state of a request path is made of.
+/// The parts from which a [`TrafficState`] is created.
 #[expect(missing_debug_implementations, reason = "moved into the state at once")]
 pub struct TrafficComponents<D> {
-    /// How requests are spelled.
+    /// Format of the requests of callers and to servers.
     pub wire_format: D,
-    /// Where this instance is.
+    /// Data centre of this instance.
     pub data_centre: DataCentre,
     /// The budgets.
     pub budgets: BudgetManager,
-    /// The retries.
+    /// The limit on retries.
     pub retries: RetryCounter,
-    /// The instances.
+    /// The known instances.
     pub directory: InstanceDirectory,
-    /// The requests under which servers ended.
+    /// The requests under which servers crashed.
     pub suspects: SuspectDesk,
-    /// What each duty may take of the machine.
+    /// Share of the machine's memory for each purpose.
     pub memory_shares: MemoryShares,
-    /// What the machine gives the process.
+    /// Resource limits of the process.
     pub limits: MachineLimits,
-    /// Whether the whole system starts for the first time: then announcements
-    /// of others are still to come.
+    /// Whether the whole system starts for the first time, so that other
+    /// instances have yet to announce themselves.
     pub first_start: bool,
 }
 
-/// State of the request path. Tasks of one thread share it; no borrow is held
-/// over an await.
+/// State of the request path, shared by the tasks of one thread. No borrow is
+/// held across an await.
 pub struct TrafficState<D> {
-    /// How requests are spelled.
+    /// Format of the requests of callers and to servers.
     pub wire_format: D,
-    /// Where this instance is.
+    /// Data centre of this instance.
     pub data_centre: DataCentre,
     /// The budgets.
     pub budgets: BudgetHandle,
-    /// The retries.
+    /// The limit on retries.
     pub retries: RefCell<RetryCounter>,
-    /// The instances.
+    /// The known instances.
     pub directory: RefCell<InstanceDirectory>,
-    /// Holders that lately had no tokens.
+    /// Holders that recently had no tokens.
     pub refusals: RefCell<HolderFailures>,
     holders: RefCell<HolderTable>,
-    /// Budgets of the configuration in force.
+    /// Number of budgets in the active configuration.
     budget_count: Cell<usize>,
-    /// What [`Self::held_ranks`] found.
+    /// Cached result of [`Self::held_ranks`].
     ranks: Cell<Option<HeldRanks>>,
     /// The link to the other instances, once it is open.
     pub link: RefCell<Option<PinnedLink>>,
-    /// Tells [`crate::members`] that whom to watch or what to pass on may
-    /// have changed.
+    /// Notifies [`crate::members`] that the instances to monitor or the updates
+    /// to send may have changed.
     pub membership_changed: Notify,
-    /// The processes that the link accepts.
+    /// Certificate fingerprints of the processes that the link accepts.
     pub pins: PinSet,
     /// The callers' connections.
     pub callers: Rc<CallerRegistry>,
@@ -111,16 +112,16 @@
     pub tally: Rc<WorkTally>,
     /// Counters and histograms.
     pub measures: Rc<TrafficMeasures>,
-    /// Finds out which servers ended.
+    /// Detects crashed servers.
     pub crash_detector: Rc<EndingWatch>,
-    /// The requests under which servers ended.
+    /// The requests under which servers crashed.
     pub suspects: Rc<SuspectDesk>,
-    /// The servers.
+    /// The servers with their connections.
     pub servers: RefCell<ServerPool>,
     server_registry: RefCell<ServerRoster>,
     table: RefCell<Option<Rc<RouteTable>>>,
-    start: StartWatch,
-    /// When the table came into force.
+    startup: StartupProgress,
+    /// When the route table became active.
     table_since: Cell<Duration>,
     /// Whether the whole system starts for the first time.
     first_start: bool,
@@ -140,7 +141,7 @@
 }
 
 impl<D: RequestDialect> TrafficState<D> {
-    /// State before any news.
+    /// Creates the state before any update.
     pub fn new(parts: TrafficComponents<D>) -> Self {
         let own = parts.directory.own().name.clone();
         Self {
@@ -167,7 +168,7 @@
             servers: RefCell::new(ServerPool::new(own, parts.memory_shares.idle_links)),
             server_registry: RefCell::default(),
             table: RefCell::default(),
-            start: StartWatch::default(),
+            startup: StartupProgress::default(),
             table_since: Cell::default(),
             first_start: parts.first_start,
             instances_read: Cell::default(),
@@ -181,17 +182,17 @@
         }
     }
 
-    /// Time of the steady clock since the start.
+    /// Time since the start by the monotonic clock.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The configuration in force.
+    /// The route table of the active configuration.
     pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// When the planned stop began.
+    /// When the graceful shutdown began, if it has.
     pub fn shutdown_start(&self) -> Option<Instant> {
         self.shutdown_start.get()
     }
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Closes the callers' port, once what waits there has been accepted.
+    /// Closes the callers' port once the waiting connections are accepted.
     pub fn close_port(&self) {
         self.port_closed.set(true);
         self.port_close.notify_waiters();
@@ -222,12 +223,12 @@
         }
     }
 
-    /// Whether new requests are refused because of a planned stop.
+    /// Whether new requests are refused because of a graceful shutdown.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.get()
     }
@@ -237,14 +238,14 @@
         CountGuard::new(&self.in_progress)
     }
 
-    /// Whether the memory has room for one more request, which is counted
-    /// already.
+    /// Whether the memory has room for one more request, which has already been
+    /// counted.
     pub fn has_room(&self) -> bool {
         let level = self.gauge.borrow().level();
         level.admits(self.in_progress())
     }
 
-    /// Takes over that the process uses `resident` bytes of memory.
+    /// Adjusts memory use to the `resident` bytes that the process uses.
     pub fn observe_memory(&self, resident: usize) {
         let changed = self.gauge.borrow_mut().observe(resident);
         if !changed {
@@ -265,12 +266,12 @@
         self.update_ready();
     }
 
-    /// Drops kept connections to servers that are of no use any more.
+    /// Drops idle connections to servers that can't be used any more.
     pub fn drop_unusable_links(&self) {
         self.servers.borrow().idle_links().drop_unusable();
     }
 
-    /// Takes a piece of news over.
+    /// Applies an update of another thread.
     pub fn apply(&self, update: TrafficUpdate) {
         match update {
             TrafficUpdate::Config { config, arrival } => {
@@ -284,7 +285,7 @@
                     .borrow_mut()
                     .replace(entries, self.now());
                 self.apply_server_changes(changes);
-                self.start.note_servers();
+                self.startup.note_servers();
             }
             TrafficUpdate::Server(entry) => {
                 let change = self.server_registry.borrow_mut().put(entry);
@@ -348,7 +349,7 @@
         self.update_ready();
     }
 
-    /// Replaces the configuration in force by `config`; false when that one is
+    /// Activates `config`; returns false if the active configuration is at least
     /// as new.
     fn activate_config(&self, config: Arc<FleetConfig>, arrival: &ConfigArrival) -> bool {
         let known = self.table().map(|table| table.config().version);
@@ -361,7 +362,7 @@
         self.budget_count.set(self.budgets.budget_count());
         let table = Rc::new(RouteTable::new(Arc::clone(&config)));
         *self.table.borrow_mut() = Some(table);
-        self.start.note_config();
+        self.startup.note_config();
         self.table_since.set(self.now());
         self.review_budgets();
         event!(
@@ -383,8 +384,8 @@
         true
     }
 
-    /// Takes an announcement over; the link accepts the newest process of
-    /// each instance only.
+    /// Records the announcement of an instance. The link accepts only the newest
+    /// process of each instance.
     fn announce(&self, entry: InstanceEntry) {
         let mut directory = self.directory.borrow_mut();
         let pin = entry.pin;
@@ -398,31 +399,31 @@
         }
     }
 
-    /// Decides on draws and reports of the budgets that requests wait for.
+    /// Decides on draws and reports for the budgets that requests wait for.
     pub fn review_waiting(&self) {
         let directory = self.directory.borrow();
         self.budgets
             .review_waiting(|budget| self.role_of(&directory, budget));
     }
 
-    /// Decides on draws and reports of all budgets.
+    /// Decides on draws and reports for all budgets.
     pub fn review_budgets(&self) {
         let directory = self.directory.borrow();
         self.budgets
             .review(|budget| self.role_of(&directory, budget));
     }
 
-    /// How many instances come before this one as a reader of the operators'
-    /// topic.
+    /// Returns how many instances rank before this one as a relay of the
+    /// operators' topic.
     pub fn relay_rank(&self) -> usize {
         let directory = self.directory.borrow();
         relays::rank_of(&directory.own().name, directory.answering())
     }
 
-    /// Ends callers' connections whose heads take too long.
+    /// Closes callers' connections whose request heads take too long.
     pub fn end_slow_heads(&self) {
         let limits = self.table().map(|table| table.config().limits);
-        let limit = limits.map_or(FIRST_HEAD_LIMIT, |limits| limits.header_timeout);
+        let limit = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.header_timeout);
         let ended = self.callers.end_slow_heads(limit);
         if ended > 0 {
             event!(
@@ -433,7 +434,7 @@
         }
     }
 
-    /// Shares the connections that servers accept among the instances.
+    /// Divides the connections that servers accept among the instances.
     pub fn share_server_connections(&self) {
         let Some(table) = self.table() else {
             return;
@@ -445,7 +446,7 @@
         }
     }
 
-    /// Shows what is the case now on the metrics' address.
+    /// Publishes the current levels as metrics.
     pub fn show_levels(&self) {
         let now = self.now();
         let directory = self.directory.borrow();
@@ -477,13 +478,13 @@
         }
     }
 
-    /// The thread's timer was late by `delay`.
+    /// Records that the thread's timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
         self.measures.timer_late(delay);
         self.pressure.note_lateness(delay);
     }
 
-    /// Drops servers that did not come back.
+    /// Removes servers whose absence has lasted too long.
     pub fn expire_servers(&self) {
         let changes = self.server_registry.borrow_mut().expire(self.now());
         self.apply_server_changes(changes);
@@ -506,8 +507,8 @@
         }
     }
 
-    /// An instance serves when it knows a configuration and a server, does not
-    /// stop and has memory left.
+    /// Updates the readiness of this instance: it is ready when it has a
+    /// configuration and a server, is not shutting down and has memory left.
     fn update_ready(&self) {
         let knows = self.table.borrow().is_some() && !self.servers.borrow().is_empty();
         let full = self.gauge.borrow().level() == MemoryPressure::Full;
@@ -520,7 +521,7 @@
     }
 }
 
-/// Counts one more while it is held.
+/// Increments a count while it is held.
 #[derive(Debug)]
 pub struct CountGuard {
     count: Rc<Cell<usize>>,
--- a/crates/hibiscus-traffic/src/state/holding.rs
+++ b/crates/hibiscus-traffic/src/state/holding.rs
@@ -1,4 +1,4 @@
-//! Which budgets this instance holds, and what follows for it.
+//! The budgets that this instance holds, and its resulting duties.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,26 +14,28 @@
 use crate::holders::HOLDERS_PER_BUDGET;
 use crate::state::TrafficState;
 
-/// Time for instances that start together to announce themselves and to be
-/// found by each other: they start within 0.3 s, an append takes milliseconds.
-const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+/// Time for instances that start together to announce themselves and to
+/// discover each other: they start within 0.3 s, and an append takes
+/// milliseconds.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The ranks of this instance among the holders, over all budgets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldRanks {
-    /// For which instances and how many groups of budgets they hold.
+    /// Generation of the directory that the ranks were computed for.
     generation: u64,
+    /// Number of budget groups that the ranks were computed for.
     groups: usize,
-    /// Whether it holds any budget.
+    /// Whether this instance holds any budget.
     any: bool,
-    /// Whether it is the first holder of some.
+    /// Whether this instance is the first holder of some budget.
     first: bool,
 }
 
 impl<D: RequestDialect> TrafficState<D> {
-    /// What this instance does for `budget`. Before the other instances are
-    /// known it draws for requests that wait only: a whole fleet that starts
-    /// would else draw as if each instance were alone.
+    /// Returns the role of this instance for `budget`. Until the other instances
+    /// are known it draws only for waiting requests: otherwise each instance of
+    /// a starting fleet would draw as if it were alone.
     pub(super) fn role_of(&self, directory: &InstanceDirectory, budget: &BudgetName) -> BudgetRole {
         let holders = self.group_holders(directory, budget);
         let most = u32::try_from(HOLDERS_PER_BUDGET).unwrap_or(u32::MAX);
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The holders of `budget`.
+    /// Returns the holders of `budget`.
     pub(super) fn group_holders(
         &self,
         directory: &InstanceDirectory,
@@ -64,9 +66,9 @@
         table.holders(budget, budgets, directory)
     }
 
-    /// Whether this instance reads the account stream: it holds a budget, or
-    /// has an account that is not settled. At a first start the stream is
-    /// empty, and the holders are not known yet.
+    /// Whether this instance reads the account stream: it does if it holds a
+    /// budget or has an unsettled account. While the fleet is unknown it reads
+    /// the stream only at a first start, when the stream is empty.
     pub fn reads_account_stream(&self) -> bool {
         let directory = self.directory.borrow();
         if !self.knows_fleet() {
@@ -75,14 +77,14 @@
         self.held_ranks(&directory).any || self.budgets.has_unsettled_account()
     }
 
-    /// Whether this instance closes accounts of processes that ended on other
-    /// machines: it is the first holder of some budget.
+    /// Whether this instance closes the accounts of ended processes of other
+    /// machines: it does if it is the first holder of some budget.
     pub fn closes_accounts(&self) -> bool {
         let directory = self.directory.borrow();
         self.knows_fleet() && self.held_ranks(&directory).first
     }
 
-    /// The ranks of this instance over all budgets.
+    /// Returns the ranks of this instance over all budgets.
     fn held_ranks(&self, directory: &InstanceDirectory) -> HeldRanks {
         let names = self.budgets.group_samples();
         let (generation, groups) = (directory.generation(), names.len());
@@ -105,7 +107,7 @@
         found
     }
 
-    /// Whether this instance asks others for tokens of `budget` instead of
+    /// Whether this instance requests tokens of `budget` from holders instead of
     /// drawing them.
     pub fn requests_from_holders(&self, budget: &BudgetName) -> bool {
         let directory = self.directory.borrow();
@@ -113,15 +115,15 @@
         self.knows_fleet() && holders.own_rank.is_none()
     }
 
-    /// Where the other holders of `budget` take questions, in the order in
-    /// which this instance asks them.
+    /// Returns the peer link addresses of the other holders of `budget`, in the
+    /// order in which this instance sends them requests.
     pub fn other_holders(&self, budget: &BudgetName) -> Vec<SocketAddr> {
         let directory = self.directory.borrow();
         self.group_holders(&directory, budget).others.clone()
     }
 
-    /// Where other holders of the budgets that this instance holds take
-    /// questions.
+    /// Returns the peer link addresses of the other holders of the budgets that
+    /// this instance holds.
     pub fn co_holders(&self) -> Vec<SocketAddr> {
         let directory = self.directory.borrow();
         for budget in self.budgets.group_samples().iter() {
@@ -134,12 +136,12 @@
     }
 
     /// Whether the other instances are known. At the first start of the system
-    /// they have had time to announce themselves; else the announcements of
-    /// before name them.
+    /// they must have had time to announce themselves; later, the stored
+    /// announcements list them.
     fn knows_fleet(&self) -> bool {
         let Some(read) = self.instances_read.get() else {
             return false;
         };
-        !self.first_start || self.now().saturating_sub(read) >= SETTLE_TIME
+        !self.first_start || self.now().saturating_sub(read) >= ANNOUNCEMENT_DELAY
     }
 }
--- a/crates/hibiscus-traffic/src/state/start.rs
+++ b/crates/hibiscus-traffic/src/state/start.rs
@@ -1,7 +1,8 @@
-//! What an instance reads of the store before it can serve.
+//! Waiting of requests while an instance starts.
 //!
-//! Callers come from the moment on that the port is open, a moment before
-//! configuration and servers are known. Their requests wait for these shortly.
+//! The callers' port opens a moment before the configuration and the servers
+//! are read from the store. Requests that arrive in between wait briefly for
+//! both.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,52 +12,54 @@
 
 use crate::state::TrafficState;
 
-/// Age of the process up to which requests wait.
-const START_TIME: Duration = Duration::from_secs(3);
-/// Longest that a request waits.
-const WAIT_LIMIT: Duration = Duration::from_millis(400);
+/// Age of the process up to which requests wait for configuration and servers.
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
+/// Longest wait of a request.
+const STARTUP_WAIT_LIMIT: Duration = Duration::from_millis(400);
 
-/// What has been read so far.
+/// What the instance has read from the store so far.
 #[derive(Debug, Default)]
-pub(super) struct StartWatch {
-    servers: Cell<bool>,
-    news: Notify,
+pub(super) struct StartupProgress {
+    servers_read: Cell<bool>,
+    changed: Notify,
 }
 
-impl StartWatch {
-    /// The configuration was read.
+impl StartupProgress {
+    /// Records that the configuration was read.
     pub(super) fn note_config(&self) {
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// The servers were read.
+    /// Records that the servers were read.
     pub(super) fn note_servers(&self) {
-        if !self.servers.replace(true) {
-            self.news.notify_waiters();
+        if !self.servers_read.replace(true) {
+            self.changed.notify_waiters();
         }
     }
 }
 
-/// When a request gives up waiting that arrived at `arrived` with `deadline`,
-/// at an instance of `age`; `None` when it does not wait.
+/// Returns when the wait of a request ends that arrived at `arrived` with the
+/// timeout `deadline`, if the instance is of `age`; `None` if it doesn't wait.
 pub fn startup_wait_end(
     arrived: Instant,
     deadline: Option<Duration>,
     age: Duration,
 ) -> Option<Instant> {
-    let wait = deadline.map_or(WAIT_LIMIT, |deadline| deadline.min(WAIT_LIMIT));
-    (age < START_TIME).then(|| arrived + wait)
+    let wait = deadline.map_or(STARTUP_WAIT_LIMIT, |deadline| {
+        deadline.min(STARTUP_WAIT_LIMIT)
+    });
+    (age < STARTUP_PERIOD).then(|| arrived + wait)
 }
 
 impl<D> TrafficState<D> {
-    /// Waits until configuration and servers are known, at most until `end`.
+    /// Waits until configuration and servers are known, but not beyond `end`.
     pub async fn wait_until_configured(&self, end: Instant) {
         loop {
-            let news = self.start.news.notified();
-            if self.start.servers.get() && self.table.borrow().is_some() {
+            let changed = self.startup.changed.notified();
+            if self.startup.servers_read.get() && self.table.borrow().is_some() {
                 return;
             }
-            if tokio::time::timeout_at(end.into(), news).await.is_err() {
+            if tokio::time::timeout_at(end.into(), changed).await.is_err() {
                 return;
             }
         }
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -145,7 +145,7 @@
         budget: budget.clone(),
         tokens,
     };
-    match peers::ask(&link, holder, &question, ANSWER_LIMIT).await {
+    match peers::send_request(&link, holder, &question, ANSWER_LIMIT).await {
         Some(PeerResponse::Refused(_refusal)) => state.budgets.add_given(&budget, tokens),
         Some(_returned) => {}
         None => event!(
@@ -270,7 +270,7 @@
             tokens,
         };
         let answer = match link {
-            Some(link) => peers::ask(&link, holder, &question, ANSWER_LIMIT).await,
+            Some(link) => peers::send_request(&link, holder, &question, ANSWER_LIMIT).await,
             None => None,
         };
         let now = state.now();
--- a/crates/hibiscus-traffic/src/updates.rs
+++ b/crates/hibiscus-traffic/src/updates.rs
@@ -1,4 +1,4 @@
-//! News from the other duties' threads.
+//! Updates that other threads send to the traffic thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,20 @@
 use crate::model::ServerEntry;
 use crate::suspects::SuspectUpdate;
 
-/// News that wait for the traffic thread; a thread that finds the ring full
-/// waits.
+/// Updates that the channel holds; a thread that finds it full waits.
 pub const CHANNEL_CAPACITY: usize = 256;
 
-/// Where a configuration came from.
+/// The source of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigSource {
-    /// The operators' topic, whole.
+    /// A complete version from the operators' topic.
     Operators,
-    /// A change that another instance published.
+    /// A delta that another instance published.
     Delta,
 }
 
 impl ConfigSource {
-    /// The word for logs and metrics.
+    /// Label of the source in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Self::Operators => "operators",
@@ -36,87 +35,89 @@
     }
 }
 
-/// How a configuration came to the request path.
+/// Origin of a configuration and the time taken to read it.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigArrival {
-    /// Where it came from.
+    /// Where the configuration came from.
     pub source: ConfigSource,
-    /// Bytes that were read for it.
+    /// Bytes read from the store.
     pub bytes: usize,
-    /// Time that reading them took, from the head of the reply on.
+    /// Time taken to read the body of the store's response.
     pub read_time: Duration,
-    /// Records of the same topic after it, when it was read.
+    /// Later records that the topic had when the configuration was read.
     pub records_behind: u64,
-    /// Time that decoding or applying it took.
+    /// Time taken to decode the configuration or to apply the delta.
     pub decode_time: Duration,
-    /// When it was told to the request path.
+    /// When the update was queued for the traffic thread.
     pub queued_at: Instant,
 }
 
-/// Something that the request path must know.
+/// An update for the request path.
 #[derive(Debug)]
 pub enum TrafficUpdate {
-    /// A configuration version.
+    /// A new configuration version.
     Config {
         /// The configuration.
         config: Arc<FleetConfig>,
-        /// How it came here.
+        /// Origin of the configuration.
         arrival: ConfigArrival,
     },
     /// The newest entries of all servers.
     AllServers(Vec<ServerEntry>),
-    /// A server wrote its entry.
+    /// A server wrote its entry to the store.
     Server(ServerEntry),
     /// A server's entry was removed.
     ServerRemoved(ServerName),
-    /// The servers' topic cannot be read.
+    /// The servers' topic can't be read.
     ServerTopicUnavailable,
     /// The servers' topic was read.
     ServerTopicRead,
-    /// Encoded records of the account stream, one after the other.
+    /// Consecutive encoded records of the account stream.
     Accounts {
-        /// Offset of the first of them.
+        /// Offset of the first record.
         first: u64,
-        /// Their bytes.
+        /// Encoded records.
         records: Vec<Vec<u8>>,
     },
-    /// The account stream ends at this offset; its records follow.
+    /// The account stream ends at this offset; updates with its records follow.
     AccountsEnd(u64),
-    /// All account records that the store had were told.
+    /// The reader has caught up: all account records that the store had were
+    /// sent.
     AccountsCaughtUp,
-    /// The account records before an offset are gone; these snapshots stand for
-    /// them.
+    /// The store has removed the account records before an offset; snapshots
+    /// replace them.
     AccountsTruncated {
-        /// Offset of the oldest record that is kept.
+        /// Offset of the oldest record that the store keeps.
         first: u64,
         /// The snapshots.
         snapshots: Vec<AccountSnapshot>,
     },
-    /// The store has batches of account records.
+    /// The store has appended batches of account records.
     AccountsAppended {
-        /// Number of the last batch.
+        /// Number of the last appended batch.
         number: u64,
-        /// Offset after its records; `None` if it had only snapshots.
+        /// Offset after the records of that batch; `None` if it held only
+        /// snapshots.
         end: Option<u64>,
     },
-    /// The announcements that the store had were told.
+    /// All instance announcements that the store had were sent.
     InstancesRead,
-    /// What the fleet's topic says of requests under which servers ended.
+    /// Records of the fleet's topic about requests under which servers crashed.
     Suspects(SuspectUpdate),
     /// An instance announced itself.
     Instance(InstanceEntry),
-    /// Another instance answers, or does not.
+    /// Whether another instance responds.
     Reachable(InstanceEntry, bool),
-    /// The planned stop begins.
+    /// The graceful shutdown begins.
     Shutdown,
 }
 
-/// The sending half of the ring.
+/// The sending half of the update channel.
 pub type UpdateSender = mpsc::Sender<TrafficUpdate>;
-/// The receiving half of the ring.
+/// The receiving half of the update channel.
 pub type UpdateReceiver = mpsc::Receiver<TrafficUpdate>;
 
-/// A new ring.
+/// Creates the update channel.
 pub fn channel() -> (UpdateSender, UpdateReceiver) {
     mpsc::channel(CHANNEL_CAPACITY)
 }
--- a/crates/hibiscus-traffic/tests/config_delta.rs
+++ b/crates/hibiscus-traffic/tests/config_delta.rs
@@ -144,7 +144,7 @@
     let before = with_routes(1, &many(20));
     let change = ConfigDelta::between((1, &before), (2, &with_routes(2, &many(20))));
     let other = with_routes(1, &many(3));
-    assert!(matches!(change.apply(&other), Err(DeltaError::NotOfThis)));
+    assert!(matches!(change.apply(&other), Err(DeltaError::OtherConfig)));
 }
 
 #[test]
