--- a/crates/hibiscus-peer/src/connect.rs
+++ b/crates/hibiscus-peer/src/connect.rs
@@ -1,8 +1,9 @@
-//! Connections to peers, kept for reuse.
+//! Cache of connections to peers.
 //!
-//! A handshake costs more than many calls, so a call that is late ends neither
-//! a connection nor a handshake: connecting is a task of its own, and a
-//! connection is replaced only after nothing at all came on it for a while.
+//! A handshake costs more than many calls, so a call that times out ends neither
+//! the connection nor the handshake. Each handshake runs in its own task, and a
+//! connection is replaced only after no packet at all was received on it for a
+//! while.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,31 +26,32 @@
 use crate::keys::FLEET_NAME;
 use crate::message;
 use crate::message::MessageSender;
-use crate::slot::CallMark;
+use crate::slot::CallBaseline;
 use crate::slot::PeerSlot;
 use crate::slot::SlotStep;
 
-/// Calls in progress to one peer; one more fails at once, so that a peer that
-/// does not answer takes a bounded share of this process.
+/// Most calls in progress to one peer. Further calls fail at once, so that an
+/// unresponsive peer takes a bounded share of this process.
 const CALL_LIMIT: usize = 4_096;
-/// Time for one handshake: a peer whose processor is taken needs many times
-/// what the handshake costs.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// Peers remembered; beyond it those without a connection are forgotten.
+/// Timeout of a handshake: a peer with a busy processor needs many times the
+/// processor time that the handshake costs.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of peers above which the state of those without a connection is
+/// removed.
 const SLOT_LIMIT: usize = 2_048;
 
-/// Bounds of the connections to peers.
+/// Limits on the connections to peers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CacheLimits {
-    /// Connections kept; one more ends the one that was not used for longest.
-    pub(crate) kept: usize,
-    /// Handshakes in progress; a call that needs one more fails at once.
+    /// Most connections; one more replaces the least recently used one.
+    pub(crate) connections: usize,
+    /// Most handshakes in progress; a call that needs one more fails at once.
     pub(crate) handshakes: usize,
-    /// Bytes of the largest reply.
-    pub(crate) message: usize,
+    /// Largest reply, in bytes.
+    pub(crate) message_bytes: usize,
 }
 
-/// Connections by address.
+/// Connections by the address of the peer.
 pub(crate) struct ConnectionCache {
     endpoint: Endpoint,
     limits: CacheLimits,
@@ -59,7 +61,7 @@
 }
 
 impl ConnectionCache {
-    /// An empty cache over `endpoint`.
+    /// Creates an empty cache that connects through `endpoint`.
     pub(crate) fn new(endpoint: Endpoint, limits: CacheLimits) -> Self {
         Self {
             endpoint,
@@ -70,20 +72,20 @@
         }
     }
 
-    /// What the connections count.
+    /// The counters of the link.
     pub(crate) fn counters(&self) -> &Arc<LinkCounters> {
         &self.counters
     }
 
-    /// What was counted until now.
+    /// Returns the current counts.
     pub(crate) fn counts(&self) -> LinkCounts {
         let slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         let open = slots.values().filter(|slot| slot.is_open()).count();
         self.counters.read(open as u64)
     }
 
-    /// Sends `body` to `peer` and reads the reply; `None` on any failure and
-    /// after `timeout`.
+    /// Sends `body` to `peer` and reads the reply; returns `None` on any failure
+    /// and after `timeout`.
     pub(crate) async fn exchange(
         &self,
         peer: SocketAddr,
@@ -92,15 +94,20 @@
     ) -> Option<Vec<u8>> {
         let deadline = Instant::now() + timeout;
         let slot = self.slot(peer);
-        let _place = slot.calls.try_acquire().ok()?;
+        let _permit = slot.calls.try_acquire().ok()?;
         let Ok(connection) = tokio::time::timeout_at(deadline, self.connection(peer, &slot)).await
         else {
-            counts::add(&self.counters.calls_late);
+            counts::increment(&self.counters.calls_late);
             return None;
         };
         let connection = connection?;
-        let mark = CallMark::new(&connection);
-        match tokio::time::timeout_at(deadline, ask(&connection, body, self.limits.message)).await {
+        let baseline = CallBaseline::new(&connection);
+        match tokio::time::timeout_at(
+            deadline,
+            exchange_messages(&connection, body, self.limits.message_bytes),
+        )
+        .await
+        {
             Ok(reply) => {
                 if reply.is_some() {
                     slot.note_reply(&connection);
@@ -108,65 +115,66 @@
                 reply
             }
             Err(_late) => {
-                counts::add(&self.counters.calls_late);
-                if slot.note_late(&connection, &mark) {
-                    let _over = self.begin(peer, &slot);
+                counts::increment(&self.counters.calls_late);
+                if slot.note_late(&connection, &baseline) {
+                    let _finished = self.begin(peer, &slot);
                 }
                 None
             }
         }
     }
 
-    /// A connection that was open when last looked at.
+    /// Returns a connection to the peer, which may have closed since the last
+    /// check.
     async fn connection(&self, peer: SocketAddr, slot: &Arc<PeerSlot>) -> Option<Connection> {
-        let mut over = match slot.next_step() {
+        let mut finished = match slot.next_step() {
             SlotStep::Use(connection) => return Some(connection),
-            SlotStep::Wait(over) => over,
-            SlotStep::Pause => return None,
+            SlotStep::Wait(finished) => finished,
+            SlotStep::Fail => return None,
             SlotStep::Connect => self.begin(peer, slot)?,
         };
-        // An error says that the handshake is over.
-        while over.changed().await.is_ok() {}
+        // The channel closes when the handshake finishes.
+        while finished.changed().await.is_ok() {}
         slot.open_connection()
     }
 
-    /// Begins a handshake with `peer`; `None` when none can begin now. The
-    /// receiver learns of its end.
+    /// Begins a handshake with `peer`; returns `None` if that is not possible
+    /// now. The returned channel closes when the handshake finishes.
     fn begin(&self, peer: SocketAddr, slot: &Arc<PeerSlot>) -> Option<watch::Receiver<()>> {
-        let place = Arc::clone(&self.handshakes).try_acquire_owned().ok()?;
+        let permit = Arc::clone(&self.handshakes).try_acquire_owned().ok()?;
         self.make_room(slot)?;
-        let (ending, over) = watch::channel(());
-        if let Some(present) = slot.begin(&over) {
+        let (finish, finished) = watch::channel(());
+        if let Some(present) = slot.begin(&finished) {
             return Some(present);
         }
         let Ok(connecting) = self.endpoint.connect(peer, FLEET_NAME) else {
             slot.finish(None);
             return None;
         };
-        counts::add(&self.counters.handshakes_begun);
+        counts::increment(&self.counters.handshakes_begun);
         let handshake = PeerHandshake {
             slot: Arc::clone(slot),
             counters: Arc::clone(&self.counters),
-            _place: place,
-            _ending: ending,
+            _permit: permit,
+            _finish: finish,
         };
         tokio::spawn(handshake.run(connecting));
-        Some(over)
+        Some(finished)
     }
 
-    /// Ends the connection that was not used for longest when one more than
-    /// the bound would be kept; `None` when all are in use.
-    fn make_room(&self, wanted: &Arc<PeerSlot>) -> Option<()> {
+    /// Drops the least recently used connection if a further one would exceed
+    /// the limit; returns `None` if all are in use.
+    fn make_room(&self, slot: &Arc<PeerSlot>) -> Option<()> {
         let slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         let kept = slots
             .values()
-            .filter(|slot| !Arc::ptr_eq(slot, wanted) && slot.is_kept());
-        if kept.clone().count() < self.limits.kept {
+            .filter(|other| !Arc::ptr_eq(other, slot) && other.is_kept());
+        if kept.clone().count() < self.limits.connections {
             return Some(());
         }
         let idle =
             kept.filter(|slot| slot.is_open() && slot.calls.available_permits() == CALL_LIMIT);
-        idle.min_by_key(|slot| slot.last_used())?.end();
+        idle.min_by_key(|slot| slot.last_used())?.release();
         Some(())
     }
 
@@ -182,8 +190,8 @@
     }
 }
 
-/// Sends `body` on `connection` and reads the reply.
-async fn ask(connection: &Connection, body: &[u8], limit: usize) -> Option<Vec<u8>> {
+/// Sends `body` on `connection` and reads the reply of up to `limit` bytes.
+async fn exchange_messages(connection: &Connection, body: &[u8], limit: usize) -> Option<Vec<u8>> {
     let (send, mut receive) = connection.open_bi().await.ok()?;
     MessageSender::new(send).send(body).await?;
     message::receive(&mut receive, limit).await
@@ -193,16 +201,16 @@
 struct PeerHandshake {
     slot: Arc<PeerSlot>,
     counters: Arc<LinkCounters>,
-    _place: OwnedSemaphorePermit,
-    /// Dropped when the handshake is over.
-    _ending: watch::Sender<()>,
+    _permit: OwnedSemaphorePermit,
+    /// Dropped when the handshake finishes, which closes the channel.
+    _finish: watch::Sender<()>,
 }
 
 impl PeerHandshake {
     async fn run(self, connecting: Connecting) {
-        let ended = tokio::time::timeout(CONNECT_LIMIT, connecting).await;
+        let ended = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         let connection = ended.ok().and_then(Result::ok);
-        counts::add(if connection.is_some() {
+        counts::increment(if connection.is_some() {
             &self.counters.handshakes_completed
         } else {
             &self.counters.handshakes_failed
--- a/crates/hibiscus-peer/src/counts.rs
+++ b/crates/hibiscus-peer/src/counts.rs
@@ -1,30 +1,30 @@
-//! What a link counts.
+//! Counters of a link.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Counts of a link since it was opened, and its open connections.
+/// Counts of events since a link was opened, and of its open connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Connections to peers that are open.
+    /// Open connections to peers.
     pub open_out: u64,
-    /// Connections from peers that are open.
+    /// Open connections from peers.
     pub open_in: u64,
-    /// Handshakes begun with peers.
+    /// Outgoing handshakes that were begun.
     pub handshakes_begun: u64,
-    /// Handshakes with peers that gave a connection.
+    /// Outgoing handshakes that established a connection.
     pub handshakes_completed: u64,
-    /// Handshakes with peers that gave none.
+    /// Outgoing handshakes that failed.
     pub handshakes_failed: u64,
-    /// Handshakes that peers began here and that were taken up.
+    /// Incoming handshakes that were accepted.
     pub handshakes_accepted: u64,
-    /// Handshakes that peers began here and that were refused unread.
+    /// Incoming handshakes that were refused without being processed.
     pub handshakes_refused: u64,
-    /// Calls whose reply did not come in time.
+    /// Calls that timed out.
     pub calls_late: u64,
 }
 
-/// The counts while they change.
+/// The shared counters behind [`LinkCounts`].
 #[derive(Debug, Default)]
 pub(crate) struct LinkCounters {
     pub(crate) open_in: AtomicU64,
@@ -37,32 +37,32 @@
 }
 
 impl LinkCounters {
-    /// The counts with `open_out` connections to peers.
+    /// Returns the current counts, with `open_out` open connections to peers.
     pub(crate) fn read(&self, open_out: u64) -> LinkCounts {
         LinkCounts {
             open_out,
-            open_in: level(&self.open_in),
-            handshakes_begun: level(&self.handshakes_begun),
-            handshakes_completed: level(&self.handshakes_completed),
-            handshakes_failed: level(&self.handshakes_failed),
-            handshakes_accepted: level(&self.handshakes_accepted),
-            handshakes_refused: level(&self.handshakes_refused),
-            calls_late: level(&self.calls_late),
+            open_in: value(&self.open_in),
+            handshakes_begun: value(&self.handshakes_begun),
+            handshakes_completed: value(&self.handshakes_completed),
+            handshakes_failed: value(&self.handshakes_failed),
+            handshakes_accepted: value(&self.handshakes_accepted),
+            handshakes_refused: value(&self.handshakes_refused),
+            calls_late: value(&self.calls_late),
         }
     }
 }
 
-/// Adds one to `counter`.
-pub(crate) fn add(counter: &AtomicU64) {
+/// Increments `counter` by one.
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Takes one from `counter`.
-pub(crate) fn take(counter: &AtomicU64) {
+/// Decrements `counter` by one.
+pub(crate) fn decrement(counter: &AtomicU64) {
     counter.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// The present value of `counter`.
-pub(crate) fn level(counter: &AtomicU64) -> u64 {
+/// Returns the current value of `counter`.
+pub(crate) fn value(counter: &AtomicU64) -> u64 {
     counter.load(Ordering::Relaxed)
 }
--- a/crates/hibiscus-peer/src/keys.rs
+++ b/crates/hibiscus-peer/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of one instance and their checks.
+//! Keys and certificates of an instance, and their validation.
 
 use std::sync::Arc;
 
@@ -14,10 +14,10 @@
 use rustls::pki_types::UnixTime;
 use rustls::pki_types::pem::PemObject;
 
-/// Name that the certificate of every instance carries.
+/// Subject name in the certificates of all instances.
 pub const FLEET_NAME: &str = "hibiscus-fleet";
 
-/// One of an instance's keys.
+/// One of the key settings of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyPart {
     /// Certificate of the fleet's authority.
@@ -29,7 +29,7 @@
 }
 
 impl KeyPart {
-    /// The name of its setting.
+    /// Returns the name of the setting.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Authority => "authority",
@@ -39,20 +39,20 @@
     }
 }
 
-/// Why a key cannot be used.
+/// Why a key or certificate can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("failed to use the link's {}: {cause}", .part.as_str())]
 pub struct KeyFault {
-    /// Which key.
+    /// The invalid setting.
     pub part: KeyPart,
-    /// What is wrong with it.
+    /// Description of the error.
     pub cause: String,
 }
 
-/// Result of reading keys.
+/// Result of reading or checking keys.
 pub(crate) type Result<T> = std::result::Result<T, KeyFault>;
 
-/// The keys of one instance, in PEM.
+/// Keys and certificates of one instance, in PEM format.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkKeys<'a> {
     /// Certificate of the fleet's authority.
@@ -63,19 +63,19 @@
     pub key: &'a str,
 }
 
-/// Keys in the form that the TLS library takes.
+/// Keys and certificates in the types of the TLS library.
 pub(crate) struct ParsedKeys {
     pub(crate) roots: Arc<RootCertStore>,
     pub(crate) chain: Vec<CertificateDer<'static>>,
     pub(crate) key: PrivateKeyDer<'static>,
 }
 
-/// The cryptography of the link.
+/// Returns the cryptography provider of the link.
 pub(crate) fn provider() -> Arc<CryptoProvider> {
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-/// The fault `cause` of `part`.
+/// Creates the error for `part` with the given `cause`.
 pub(crate) fn fault(part: KeyPart, cause: impl Into<String>) -> KeyFault {
     KeyFault {
         part,
@@ -84,11 +84,11 @@
 }
 
 impl LinkKeys<'_> {
-    /// Checks that the keys can be read, belong together and are valid now.
+    /// Checks that the keys can be parsed, belong together and are valid now.
     ///
     /// # Errors
     ///
-    /// Names the key at fault.
+    /// Fails with the first invalid key or certificate.
     pub fn check(&self) -> Result<()> {
         let parsed = self.parse()?;
         check_certificate(&parsed)?;
@@ -101,16 +101,19 @@
         Ok(())
     }
 
-    /// Reads the PEM blocks.
+    /// Parses the PEM blocks.
     pub(crate) fn parse(&self) -> Result<ParsedKeys> {
         let authority = certificate(self.authority, KeyPart::Authority)?;
         let own = certificate(self.certificate, KeyPart::Certificate)?;
         let key = PrivateKeyDer::from_pem_slice(self.key.as_bytes())
             .map_err(|_error| fault(KeyPart::Key, "it must be a private key as one PEM block"))?;
         let mut roots = RootCertStore::empty();
-        roots
-            .add(authority)
-            .map_err(|_error| fault(KeyPart::Authority, "it is no authority's certificate"))?;
+        roots.add(authority).map_err(|_error| {
+            fault(
+                KeyPart::Authority,
+                "it is not the certificate of an authority",
+            )
+        })?;
         Ok(ParsedKeys {
             roots: Arc::new(roots),
             chain: vec![own],
@@ -119,14 +122,14 @@
     }
 }
 
-/// Reads one certificate.
+/// Parses one certificate.
 fn certificate(text: &str, part: KeyPart) -> Result<CertificateDer<'static>> {
     CertificateDer::from_pem_slice(text.as_bytes())
         .map_err(|_error| fault(part, "it must be a certificate as one PEM block"))
 }
 
-/// Checks that the fleet's authority signed the certificate, that it names
-/// the fleet, and that it is valid now.
+/// Checks that the certificate is signed by the fleet's authority, has the
+/// fleet's name, and is valid now.
 fn check_certificate(parsed: &ParsedKeys) -> Result<()> {
     let failed = |cause: String| fault(KeyPart::Certificate, cause);
     let verifier =
@@ -143,7 +146,7 @@
         .map_err(|error| failed(describe(&error)))
 }
 
-/// What is wrong with a certificate.
+/// Describes why a certificate was rejected.
 fn describe(error: &Error) -> String {
     let Error::InvalidCertificate(cause) = error else {
         return error.to_string();
--- a/crates/hibiscus-peer/src/lib.rs
+++ b/crates/hibiscus-peer/src/lib.rs
@@ -1,12 +1,12 @@
-//! Authenticated request and reply link between the instances of a fleet.
+//! Authenticated request-reply link between the instances of a fleet.
 //!
-//! One thread with a current-thread runtime owns the `quinn` endpoint; the
-//! duties' threads reach it through bounded rings. A call is one stream: the
-//! request's bytes, then the reply's. Both ends present a certificate signed
-//! by the fleet's authority, so a process of another fleet is refused during
-//! the handshake. A call that fails may have been received: callers repeat
-//! only what is idempotent. [`PinnedLink`] is the same for fleets without an
-//! authority, on the runtime of its caller.
+//! A dedicated thread with a current-thread runtime owns the `quinn` endpoint;
+//! other threads reach it through bounded channels. A call is one stream: the
+//! bytes of the request, then those of the reply. Both ends present a
+//! certificate signed by the fleet's authority, so a process of another fleet
+//! is refused during the handshake. A call that fails may have been received,
+//! so callers repeat only idempotent calls. [`PinnedLink`] is the same link for
+//! fleets without an authority, and runs on its caller's runtime.
 
 mod connect;
 mod counts;
--- a/crates/hibiscus-peer/src/link.rs
+++ b/crates/hibiscus-peer/src/link.rs
@@ -1,4 +1,4 @@
-//! The link's thread and the rings that join it to the duties.
+//! The thread of the link and its channels to other threads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,37 +24,37 @@
 use crate::message::MessageSender;
 use crate::tls;
 
-/// Calls that wait for the link's thread.
-const RING_CAPACITY: usize = 8_192;
-/// Time that the link waits for its last packets to leave.
-const CLOSE_LIMIT: Duration = Duration::from_millis(300);
+/// Most calls that wait for the thread of the link.
+const QUEUE_CAPACITY: usize = 8_192;
+/// Longest wait for the last packets to be sent when the link closes.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Largest message, in bytes.
 const MESSAGE_LIMIT: usize = 16 * 1024 * 1024;
-/// Bounds of the connections to peers: instances of one list beat to each
-/// other.
+/// Limits on the connections to peers: all instances of the list exchange
+/// heartbeats.
 const LIMITS: CacheLimits = CacheLimits {
-    kept: 1_024,
+    connections: 1_024,
     handshakes: 256,
-    message: MESSAGE_LIMIT,
+    message_bytes: MESSAGE_LIMIT,
 };
-/// Bytes of the hybrid logical time in front of each message.
-const STAMP_BYTES: usize = 8;
+/// Size of the hybrid logical timestamp before each message.
+const TIMESTAMP_BYTES: usize = 8;
 
 /// Why the link failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// A key or certificate cannot be used.
+    /// A key or certificate can't be used.
     #[error(transparent)]
     BadKeys(#[from] KeyFault),
-    /// The port cannot be opened.
+    /// The port can't be opened.
     #[error("failed to open the peer port {address}")]
     Bind {
-        /// The address.
+        /// Address of the port.
         address: SocketAddr,
         /// The cause.
         source: std::io::Error,
     },
-    /// The peer did not answer in time or refused the connection.
+    /// The peer didn't reply in time or refused the connection.
     #[error("failed to get a reply from the peer")]
     NoReply,
     /// Too many calls are waiting.
@@ -65,14 +65,14 @@
 /// Result of a link operation.
 pub type Result<T> = std::result::Result<T, LinkError>;
 
-/// What a link needs.
+/// Options for opening a link.
 #[derive(Clone, Copy)]
 pub struct LinkOptions<'a> {
     /// Address to listen on.
     pub listen: SocketAddr,
     /// Keys of this instance.
     pub keys: LinkKeys<'a>,
-    /// Gives and observes the hybrid logical time of each message.
+    /// Provides and observes the hybrid logical timestamp of each message.
     pub events: &'a Arc<EventRecorder>,
 }
 
@@ -85,13 +85,13 @@
 }
 
 impl PeerCall {
-    /// Sends the reply. A peer that no longer waits gets none.
+    /// Sends the reply, unless the peer no longer waits for it.
     pub fn reply(self, body: Vec<u8>) {
         let _gone = self.reply.send(body);
     }
 }
 
-/// A call to a peer, on its way to the link's thread.
+/// A call to a peer, queued for the thread of the link.
 struct OutgoingCall {
     peer: SocketAddr,
     body: Vec<u8>,
@@ -99,14 +99,14 @@
     reply: std_mpsc::SyncSender<Option<Vec<u8>>>,
 }
 
-/// A call whose reply has not come yet.
+/// A call that waits for its reply.
 #[derive(Debug)]
 pub struct PendingCall {
     reply: std_mpsc::Receiver<Option<Vec<u8>>>,
 }
 
 impl PendingCall {
-    /// Waits for the reply; the call's own timeout bounds the wait.
+    /// Waits for the reply, up to the timeout of the call.
     pub fn wait(self) -> Result<Vec<u8>> {
         match self.reply.recv() {
             Ok(Some(body)) => Ok(body),
@@ -124,26 +124,26 @@
     thread: Arc<LinkThread>,
 }
 
-/// Joins the link's thread when the link is closed.
+/// Handle to stop and join the thread of the link.
 struct LinkThread {
     stop: mpsc::Sender<()>,
     handle: std::sync::Mutex<Option<JoinHandle<()>>>,
 }
 
 impl PeerLink {
-    /// Opens the port and puts received calls into `inbox`; a call that finds
-    /// it full is dropped, and its sender sees no reply.
+    /// Opens the port and puts received calls into `inbox`. If `inbox` is full,
+    /// the call is dropped and its sender receives no reply.
     ///
     /// # Errors
     ///
-    /// Fails when a key cannot be read or the port cannot be opened.
+    /// Fails if a key can't be used or the port can't be opened.
     pub fn start(options: &LinkOptions<'_>, inbox: std_mpsc::SyncSender<PeerCall>) -> Result<Self> {
         options.keys.check()?;
         let server = tls::server_config(&options.keys)?;
         let client = tls::client_config(&options.keys)?;
         let listen = options.listen;
         let events = Arc::clone(options.events);
-        let (outgoing, calls) = mpsc::channel(RING_CAPACITY);
+        let (outgoing, calls) = mpsc::channel(QUEUE_CAPACITY);
         let (stop, stopped) = mpsc::channel(1);
         let (ready, started) = std_mpsc::sync_channel(1);
         let handle = thread::Builder::new()
@@ -191,7 +191,7 @@
         })
     }
 
-    /// Address that the link listens on.
+    /// The address that the link listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -201,7 +201,8 @@
         self.start_call(peer, body, timeout)?.wait()
     }
 
-    /// Sends `body` to `peer`; several calls may be started, then waited for.
+    /// Sends `body` to `peer` without waiting for the reply, so that several
+    /// calls can be in progress.
     pub fn start_call(
         &self,
         peer: SocketAddr,
@@ -211,7 +212,7 @@
         let (reply, pending) = std_mpsc::sync_channel(1);
         let call = OutgoingCall {
             peer,
-            body: add_stamp(&self.events, &body),
+            body: prepend_timestamp(&self.events, &body),
             timeout,
             reply,
         };
@@ -221,7 +222,7 @@
         Ok(PendingCall { reply: pending })
     }
 
-    /// Closes the link after its last replies have left.
+    /// Closes the link after its last replies are sent.
     pub fn close(&self) {
         let _closing = self.thread.stop.try_send(());
         let handle = self
@@ -264,13 +265,13 @@
         }
     }
     endpoint.close(VarInt::from_u32(0), b"closing");
-    let _late = tokio::time::timeout(CLOSE_LIMIT, endpoint.wait_idle()).await;
+    let _late = tokio::time::timeout(CLOSE_TIMEOUT, endpoint.wait_idle()).await;
 }
 
-/// Makes one call and hands its reply over.
+/// Makes one call and returns its reply to the calling thread.
 async fn send_call(cache: Arc<ConnectionCache>, events: Arc<EventRecorder>, call: OutgoingCall) {
     let reply = cache.exchange(call.peer, &call.body, call.timeout).await;
-    let body = reply.and_then(|message| take_stamp(&events, message));
+    let body = reply.and_then(|message| strip_timestamp(&events, message));
     let _gone = call.reply.try_send(body);
 }
 
@@ -304,33 +305,33 @@
     let Some(message) = message::receive(&mut receive, MESSAGE_LIMIT).await else {
         return;
     };
-    let Some(body) = take_stamp(&events, message) else {
+    let Some(body) = strip_timestamp(&events, message) else {
         return;
     };
-    let (reply, answered) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     if inbox.try_send(PeerCall { body, reply }).is_err() {
         return;
     }
-    let Ok(body) = answered.await else {
+    let Ok(body) = response.await else {
         return;
     };
-    let message = add_stamp(&events, &body);
+    let message = prepend_timestamp(&events, &body);
     let _gone = sender.send(&message).await;
 }
 
-/// Puts the present time in front of `body`.
-fn add_stamp(events: &EventRecorder, body: &[u8]) -> Vec<u8> {
-    let mut message = Vec::with_capacity(STAMP_BYTES + body.len());
+/// Prepends the current timestamp to `body`.
+fn prepend_timestamp(events: &EventRecorder, body: &[u8]) -> Vec<u8> {
+    let mut message = Vec::with_capacity(TIMESTAMP_BYTES + body.len());
     message.extend_from_slice(&events.stamp().to_le_bytes());
     message.extend_from_slice(body);
     message
 }
 
-/// Observes a message's time and returns its body; `None` when the message
-/// is too short to have one.
-fn take_stamp(events: &EventRecorder, mut message: Vec<u8>) -> Option<Vec<u8>> {
-    let (stamp, _body) = message.split_first_chunk::<STAMP_BYTES>()?;
-    events.observe(u64::from_le_bytes(*stamp));
-    message.drain(..STAMP_BYTES);
+/// Observes the timestamp of a message and returns its body, or `None` if the
+/// message is too short for a timestamp.
+fn strip_timestamp(events: &EventRecorder, mut message: Vec<u8>) -> Option<Vec<u8>> {
+    let (timestamp, _body) = message.split_first_chunk::<TIMESTAMP_BYTES>()?;
+    events.observe(u64::from_le_bytes(*timestamp));
+    message.drain(..TIMESTAMP_BYTES);
     Some(message)
 }
--- a/crates/hibiscus-peer/src/pinned.rs
+++ b/crates/hibiscus-peer/src/pinned.rs
@@ -1,8 +1,8 @@
-//! A link between instances that have no common authority.
+//! Link between instances that have no common certificate authority.
 //!
-//! Each process makes a key pair at its start and announces the fingerprint of
-//! its certificate where only the fleet can write. Both ends of a connection
-//! present their certificates, and each accepts only one whose fingerprint was
+//! Each process generates a key pair at its start and announces the fingerprint
+//! of its certificate where only the fleet can write. Both ends of a connection
+//! present their certificates and accept only those whose fingerprint was
 //! announced. The link runs on the caller's runtime.
 
 use std::collections::HashSet;
@@ -55,44 +55,45 @@
 use crate::message::MessageSender;
 use crate::tls;
 
-/// Bounds of the connections to peers: a large fleet asks a few dozen now and
-/// then, and a handshake takes some hundredths of a second of a small machine.
+/// Limits on the connections to peers: an instance of a large fleet occasionally
+/// calls a few dozen peers, and a handshake takes some hundredths of a second on
+/// a small machine.
 const LIMITS: CacheLimits = CacheLimits {
-    kept: 64,
+    connections: 64,
     handshakes: 8,
-    message: tls::PINNED_MESSAGE,
+    message_bytes: tls::PINNED_MESSAGE_BYTES,
 };
 
-/// Handshakes of peers in progress; one more is refused unread, so that those
-/// in progress end before their peers give up.
+/// Most incoming handshakes in progress. Further ones are refused without being
+/// processed, so that those in progress finish before their peers time out.
 const HANDSHAKE_LIMIT: usize = 8;
-/// Time for a handshake of a peer: as long as the peer waits.
-const HANDSHAKE_TIME: Duration = Duration::from_secs(2);
-/// Connections of peers; with each keeping its own bound, only an uneven
-/// choice of many brings more.
-const ACCEPTED_LIMIT: u64 = 256;
+/// Timeout of an incoming handshake: as long as the peer waits.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Most connections from peers. As each peer limits its own connections, more
+/// arise only if many peers select the same instance.
+const INCOMING_LIMIT: u64 = 256;
 
-/// SHA-256 of a certificate.
+/// SHA-256 fingerprint of a certificate.
 pub type CertificatePin = [u8; 32];
 
-/// Why a pinned link cannot be had.
+/// Why a pinned link can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum PinnedError {
-    /// No key pair or certificate can be made.
-    #[error("failed to make the link's key pair")]
+    /// The key pair or certificate can't be generated.
+    #[error("failed to generate the link's key pair")]
     Key(#[from] rcgen::Error),
-    /// The cryptography refuses the key pair.
+    /// The TLS library refuses the key pair.
     #[error("failed to use the link's key pair")]
     Tls(#[from] Error),
-    /// The cryptography has no cipher that the protocol needs.
+    /// The TLS library lacks the cipher that QUIC needs.
     #[error("failed to find a cipher for the link")]
     Cipher(#[from] quinn::crypto::rustls::NoInitialCipherSuite),
-    /// The port cannot be opened.
+    /// The port can't be opened.
     #[error("failed to open the peer port")]
     Bind(#[from] io::Error),
 }
 
-/// Result of a pinned link's operation.
+/// Result of opening a pinned link.
 pub(crate) type Result<T> = std::result::Result<T, PinnedError>;
 
 /// The key pair of one process.
@@ -102,20 +103,20 @@
 }
 
 impl PinnedKeys {
-    /// A new key pair.
+    /// Generates a new key pair.
     ///
     /// # Errors
     ///
-    /// Fails when the system gives no random numbers.
+    /// Fails if the system provides no random numbers.
     pub fn generate() -> Result<Self> {
-        let made = rcgen::generate_simple_self_signed(vec![FLEET_NAME.to_owned()])?;
+        let generated = rcgen::generate_simple_self_signed(vec![FLEET_NAME.to_owned()])?;
         Ok(Self {
-            certificate: made.cert.der().clone(),
-            key: made.signing_key.serialize_der(),
+            certificate: generated.cert.der().clone(),
+            key: generated.signing_key.serialize_der(),
         })
     }
 
-    /// What peers must know to accept this process.
+    /// Returns the fingerprint that peers need to accept this process.
     pub fn pin(&self) -> CertificatePin {
         pin_of(&self.certificate)
     }
@@ -125,7 +126,7 @@
     }
 }
 
-/// The pins of all processes that may connect.
+/// Certificate fingerprints of all processes that may connect.
 #[derive(Clone, Debug, Default)]
 pub struct PinSet {
     pins: Arc<RwLock<HashSet<CertificatePin>>>,
@@ -138,7 +139,7 @@
         pins.insert(pin);
     }
 
-    /// Accepts the process with `pin` no more.
+    /// Refuses the process with `pin` from now on.
     pub fn remove(&self, pin: &CertificatePin) {
         let mut pins = self.pins.write().unwrap_or_else(PoisonError::into_inner);
         pins.remove(pin);
@@ -153,12 +154,13 @@
     }
 }
 
-/// The pin of a certificate.
+/// Returns the fingerprint of a certificate.
 fn pin_of(certificate: &CertificateDer<'_>) -> CertificatePin {
     Sha256::digest(certificate).into()
 }
 
-/// Accepts certificates whose pin is known, on both sides of a connection.
+/// Accepts the certificates with known fingerprints, on both sides of a
+/// connection.
 #[derive(Debug)]
 struct PinVerifier {
     pins: PinSet,
@@ -182,11 +184,11 @@
     }
 }
 
-/// The protocol of the link is TLS 1.3 only.
+/// Error for TLS 1.2, since the link uses TLS 1.3 only.
 const NO_TLS12: Error = Error::PeerIncompatible(rustls::PeerIncompatible::Tls12NotOffered);
 
-/// The checks of signatures, which both verifier traits ask for under the same
-/// names.
+/// Implements the signature checks, which both verifier traits require under
+/// the same names.
 macro_rules! check_signatures {
     () => {
         fn verify_tls12_signature(
@@ -256,12 +258,12 @@
 }
 
 impl PinnedCall {
-    /// Whether the peer still waits, as far as is known here.
+    /// Whether the peer still waits for the reply, as far as this process knows.
     pub fn is_caller_waiting(&self) -> bool {
         !self.reply.is_closed()
     }
 
-    /// Sends the reply; false when the peer no longer waits and gets none.
+    /// Sends the reply; returns false if the peer no longer waits for it.
     pub fn reply(self, body: Vec<u8>) -> bool {
         self.reply.send(body).is_ok()
     }
@@ -274,12 +276,12 @@
 }
 
 impl PinnedLink {
-    /// Opens the port on the present runtime and puts received calls into
-    /// `inbox`; a call that finds it full is dropped.
+    /// Opens the port on the current runtime and puts received calls into
+    /// `inbox`. If `inbox` is full, the call is dropped.
     ///
     /// # Errors
     ///
-    /// Fails when the keys cannot be used or the port cannot be opened.
+    /// Fails if the keys can't be used or the port can't be opened.
     pub fn open(
         listen: SocketAddr,
         keys: &PinnedKeys,
@@ -293,19 +295,19 @@
         Ok(Self { cache })
     }
 
-    /// What the link counted until now.
+    /// Returns the counts of the link.
     pub fn counts(&self) -> LinkCounts {
         self.cache.counts()
     }
 
-    /// Sends `body` to `peer` and returns the reply; `None` on any failure and
-    /// after `timeout`. The peer may have received the call.
+    /// Sends `body` to `peer` and returns the reply, or `None` on any failure and
+    /// after `timeout`. Even then, the peer may have received the call.
     pub async fn call(&self, peer: SocketAddr, body: &[u8], timeout: Duration) -> Option<Vec<u8>> {
         self.cache.exchange(peer, body, timeout).await
     }
 }
 
-/// Settings of the accepting side.
+/// Returns the settings of the accepting side.
 fn server_config(keys: &PinnedKeys, pins: &PinSet) -> Result<ServerConfig> {
     let mut config = rustls::ServerConfig::builder_with_provider(keys::provider())
         .with_protocol_versions(&[&rustls::version::TLS13])?
@@ -319,7 +321,7 @@
     Ok(config)
 }
 
-/// Settings of the connecting side.
+/// Returns the settings of the connecting side.
 fn client_config(keys: &PinnedKeys, pins: &PinSet) -> Result<ClientConfig> {
     let config = rustls::ClientConfig::builder_with_provider(keys::provider())
         .with_protocol_versions(&[&rustls::version::TLS13])?
@@ -341,19 +343,19 @@
 
 /// Accepts connections until the endpoint is closed.
 async fn accept(endpoint: Endpoint, inbox: mpsc::Sender<PinnedCall>, counters: Arc<LinkCounters>) {
-    let places = Arc::new(Semaphore::new(HANDSHAKE_LIMIT));
+    let permits = Arc::new(Semaphore::new(HANDSHAKE_LIMIT));
     while let Some(incoming) = endpoint.accept().await {
-        let place = Arc::clone(&places).try_acquire_owned().ok();
-        let place = place.filter(|_place| counts::level(&counters.open_in) < ACCEPTED_LIMIT);
-        let Some(place) = place else {
-            counts::add(&counters.handshakes_refused);
+        let permit = Arc::clone(&permits).try_acquire_owned().ok();
+        let permit = permit.filter(|_permit| counts::value(&counters.open_in) < INCOMING_LIMIT);
+        let Some(permit) = permit else {
+            counts::increment(&counters.handshakes_refused);
             incoming.refuse();
             continue;
         };
-        counts::add(&counters.handshakes_accepted);
+        counts::increment(&counters.handshakes_accepted);
         tokio::spawn(serve_connection(
             incoming,
-            place,
+            permit,
             inbox.clone(),
             Arc::clone(&counters),
         ));
@@ -363,35 +365,35 @@
 /// Receives the calls of one connection.
 async fn serve_connection(
     incoming: Incoming,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
     inbox: mpsc::Sender<PinnedCall>,
     counters: Arc<LinkCounters>,
 ) {
-    let made = tokio::time::timeout(HANDSHAKE_TIME, incoming.into_future()).await;
-    drop(place);
-    let Ok(Ok(connection)) = made else {
+    let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, incoming.into_future()).await;
+    drop(permit);
+    let Ok(Ok(connection)) = connected else {
         return;
     };
-    counts::add(&counters.open_in);
+    counts::increment(&counters.open_in);
     while let Ok((send, receive)) = connection.accept_bi().await {
         tokio::spawn(serve_call(send, receive, inbox.clone()));
     }
-    counts::take(&counters.open_in);
+    counts::decrement(&counters.open_in);
 }
 
 /// Receives one call and sends its reply.
 async fn serve_call(send: SendStream, mut receive: RecvStream, inbox: mpsc::Sender<PinnedCall>) {
     let mut sender = MessageSender::new(send);
-    let Some(body) = message::receive(&mut receive, tls::PINNED_MESSAGE).await else {
+    let Some(body) = message::receive(&mut receive, tls::PINNED_MESSAGE_BYTES).await else {
         return;
     };
-    let (reply, answered) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     if inbox.try_send(PinnedCall { body, reply }).is_err() {
         return;
     }
     let body = tokio::select! {
-        body = answered => body,
-        () = sender.left() => return,
+        body = response => body,
+        () = sender.stopped() => return,
     };
     let Ok(body) = body else {
         return;
--- a/crates/hibiscus-peer/src/slot.rs
+++ b/crates/hibiscus-peer/src/slot.rs
@@ -1,4 +1,4 @@
-//! What a link knows of one peer.
+//! Connection state of one peer.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,70 +10,73 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Time without any packet, while calls wait, after which the peer is taken
-/// for replaced or cut off: a peer that is only slow confirms packets.
-const SILENCE_LIMIT: Duration = Duration::from_secs(1);
-/// Pause after the first handshake that failed; each further one doubles it.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause: a peer that came back is reached within it.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// Doublings after which the pause is the longest.
-const DOUBLINGS_LIMIT: u32 = 4;
+/// Time without any received packet, while calls wait, after which the peer is
+/// considered replaced or cut off: a peer that is only slow still acknowledges
+/// packets.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after the first failed handshake; each further failure doubles it.
+const MIN_BACKOFF: Duration = Duration::from_millis(250);
+/// Longest delay: a peer that is reachable again is reached within it.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// Number of doublings from [`MIN_BACKOFF`] to [`MAX_BACKOFF`].
+const MAX_DOUBLINGS: u32 = 4;
 
-/// What a call to a peer does next.
+/// The next step of a call to a peer.
 pub(crate) enum SlotStep {
-    /// It uses the connection.
+    /// Use the connection.
     Use(Connection),
-    /// It waits until the handshake in progress is over.
+    /// Wait until the handshake in progress finishes.
     Wait(watch::Receiver<()>),
-    /// It fails: the last handshake failed a short time ago.
-    Pause,
-    /// It begins a handshake.
+    /// Fail, since the last handshake failed a short time ago.
+    Fail,
+    /// Begin a handshake.
     Connect,
 }
 
-/// What was heard on a connection when a call began.
+/// Number of datagrams received on a connection when a call started.
 #[derive(Debug)]
-pub(crate) struct CallMark {
-    begun: Instant,
-    heard: u64,
+pub(crate) struct CallBaseline {
+    started: Instant,
+    received: u64,
 }
 
-impl CallMark {
-    /// What was heard on `connection` until now.
+impl CallBaseline {
+    /// Records the datagrams received on `connection` so far.
     pub(crate) fn new(connection: &Connection) -> Self {
         Self {
-            begun: Instant::now(),
-            heard: heard(connection),
+            started: Instant::now(),
+            received: received_datagrams(connection),
         }
     }
 }
 
-/// A time without any packet.
+/// A period without any received packet.
 #[derive(Debug)]
-struct PeerSilence {
-    /// The begin of the first call in it.
+struct SilentPeriod {
+    /// Start of the first call in the period.
     since: Instant,
-    heard: u64,
-    /// When the last late call in it was noted. Only a call that began after
-    /// this one shows more: a stall of this process makes all calls in
-    /// progress late before it reads what came.
-    noted: Instant,
+    /// Datagrams received before the period.
+    received: u64,
+    /// When the last timeout of a call in the period was recorded. Only a call
+    /// that started later confirms the silence: if this process stalls, all
+    /// calls in progress time out before it reads the packets that arrived.
+    last_noted: Instant,
+    /// Whether a later call has timed out too.
     confirmed: bool,
 }
 
-/// Datagrams received on a connection.
-fn heard(connection: &Connection) -> u64 {
+/// Returns the number of datagrams received on a connection.
+fn received_datagrams(connection: &Connection) -> u64 {
     connection.stats().udp_rx.datagrams
 }
 
-/// A connection and what came on it.
+/// A connection that is kept for reuse.
 struct KeptConnection {
     connection: Connection,
-    /// Whether a call on it was answered: a peer that refuses this process may
-    /// say so only after the handshake.
-    proved: bool,
-    silence: Option<PeerSilence>,
+    /// Whether a call on the connection received a reply. A peer may refuse this
+    /// process only after the handshake.
+    has_replied: bool,
+    silent_period: Option<SilentPeriod>,
 }
 
 impl KeptConnection {
@@ -85,75 +88,77 @@
         self.connection.stable_id() == connection.stable_id()
     }
 
-    /// Whether nothing came for too long while calls waited.
+    /// Whether no packet was received for too long while calls waited.
     fn is_silent(&self) -> bool {
-        self.silence.as_ref().is_some_and(|silence| {
-            silence.confirmed
-                && silence.heard == heard(&self.connection)
-                && silence.since.elapsed() >= SILENCE_LIMIT
+        self.silent_period.as_ref().is_some_and(|period| {
+            period.confirmed
+                && period.received == received_datagrams(&self.connection)
+                && period.since.elapsed() >= SILENCE_TIMEOUT
         })
     }
 
-    /// Notes that the call of `mark` got no reply in time.
-    fn note_late(&mut self, mark: &CallMark) {
-        let heard = heard(&self.connection);
-        self.silence.take_if(|silence| silence.heard != heard);
-        if mark.heard != heard {
+    /// Records that the call with `baseline` timed out.
+    fn note_late(&mut self, baseline: &CallBaseline) {
+        let received = received_datagrams(&self.connection);
+        self.silent_period
+            .take_if(|period| period.received != received);
+        if baseline.received != received {
             return;
         }
         let now = Instant::now();
-        let silence = self.silence.get_or_insert(PeerSilence {
-            since: mark.begun,
-            heard,
-            noted: now,
+        let period = self.silent_period.get_or_insert(SilentPeriod {
+            since: baseline.started,
+            received,
+            last_noted: now,
             confirmed: false,
         });
-        if mark.begun >= silence.noted {
-            silence.noted = now;
-            silence.confirmed = true;
+        if baseline.started >= period.last_noted {
+            period.last_noted = now;
+            period.confirmed = true;
         }
     }
 }
 
-/// The connection to one peer and the attempts to have one.
+/// The connection to one peer and the attempts to establish one.
 struct SlotState {
     kept: Option<KeptConnection>,
-    /// Ends with the handshake in progress.
+    /// The handshake in progress; the channel closes when it finishes.
     handshake: Option<watch::Receiver<()>>,
-    /// Handshakes since the last reply that gave no useful connection.
+    /// Handshakes since the last reply that led to no usable connection.
     failures: u32,
-    /// No handshake begins before.
-    paused_until: Instant,
-    used: Instant,
+    /// No handshake begins before this time.
+    retry_at: Instant,
+    last_used: Instant,
 }
 
 impl SlotState {
-    fn pause(&mut self) {
-        let factor = 1 << self.failures.min(DOUBLINGS_LIMIT);
-        let pause = FIRST_PAUSE.saturating_mul(factor).min(LONGEST_PAUSE);
+    fn back_off(&mut self) {
+        let factor = 1 << self.failures.min(MAX_DOUBLINGS);
+        let backoff = MIN_BACKOFF.saturating_mul(factor).min(MAX_BACKOFF);
         self.failures = self.failures.saturating_add(1);
-        self.paused_until = Instant::now() + pause;
+        self.retry_at = Instant::now() + backoff;
     }
 
-    /// Drops a connection that has ended. One that never gave a reply counts
-    /// as a failed handshake.
-    fn review(&mut self) {
-        let ended = self.kept.take_if(|kept| !kept.is_open());
-        if ended.is_some_and(|kept| !kept.proved) {
-            self.pause();
+    /// Drops the connection if it is closed. A closed connection without any
+    /// reply counts as a failed handshake.
+    fn drop_closed(&mut self) {
+        let closed = self.kept.take_if(|kept| !kept.is_open());
+        if closed.is_some_and(|kept| !kept.has_replied) {
+            self.back_off();
         }
     }
 }
 
-/// One peer.
+/// State of one peer.
 pub(crate) struct PeerSlot {
     state: Mutex<SlotState>,
-    /// Places for calls in progress.
+    /// Permits for calls in progress.
     pub(crate) calls: Semaphore,
 }
 
 impl PeerSlot {
-    /// A peer without a connection, with places for `calls`.
+    /// Creates the state of a peer without a connection that allows `calls` in
+    /// progress.
     pub(crate) fn new(calls: usize) -> Self {
         let now = Instant::now();
         Self {
@@ -161,89 +166,89 @@
                 kept: None,
                 handshake: None,
                 failures: 0,
-                paused_until: now,
-                used: now,
+                retry_at: now,
+                last_used: now,
             }),
             calls: Semaphore::new(calls),
         }
     }
 
-    /// What a call does now.
+    /// Returns the next step of a call.
     pub(crate) fn next_step(&self) -> SlotStep {
         let mut state = self.lock();
-        state.used = Instant::now();
+        state.last_used = Instant::now();
         if let Some(handshake) = &state.handshake {
             return SlotStep::Wait(handshake.clone());
         }
-        state.review();
+        state.drop_closed();
         if let Some(kept) = &state.kept {
             return SlotStep::Use(kept.connection.clone());
         }
-        if state.used < state.paused_until {
-            return SlotStep::Pause;
+        if state.last_used < state.retry_at {
+            return SlotStep::Fail;
         }
         SlotStep::Connect
     }
 
-    /// Notes a handshake that begins and ends with `over`; returns the one in
-    /// progress instead if there is one.
-    pub(crate) fn begin(&self, over: &watch::Receiver<()>) -> Option<watch::Receiver<()>> {
+    /// Records the start of a handshake that closes the channel `finished` at
+    /// its end. Returns the handshake in progress instead if there is one.
+    pub(crate) fn begin(&self, finished: &watch::Receiver<()>) -> Option<watch::Receiver<()>> {
         let mut state = self.lock();
         if state.handshake.is_none() {
-            state.handshake = Some(over.clone());
+            state.handshake = Some(finished.clone());
             return None;
         }
         state.handshake.clone()
     }
 
-    /// Notes the end of the handshake. A connection that it gave replaces the
-    /// former one, whose calls go on; the last of them closes it.
+    /// Records the end of the handshake. A new connection replaces the previous
+    /// one, which closes when the last of its calls ends.
     pub(crate) fn finish(&self, connection: Option<Connection>) {
         let mut state = self.lock();
         state.handshake = None;
         let Some(connection) = connection else {
-            state.pause();
+            state.back_off();
             state.kept.take_if(|kept| kept.is_silent());
             return;
         };
         state.kept = Some(KeptConnection {
             connection,
-            proved: false,
-            silence: None,
+            has_replied: false,
+            silent_period: None,
         });
     }
 
-    /// Notes that a call on `connection` was answered.
+    /// Records that a call on `connection` received a reply.
     pub(crate) fn note_reply(&self, connection: &Connection) {
         let mut state = self.lock();
         let Some(kept) = state.kept.as_mut().filter(|kept| kept.is_same(connection)) else {
             return;
         };
-        kept.proved = true;
-        kept.silence = None;
+        kept.has_replied = true;
+        kept.silent_period = None;
         state.failures = 0;
     }
 
-    /// Notes that the call of `mark` on `connection` got no reply in time;
-    /// true when the connection is to be replaced now.
-    pub(crate) fn note_late(&self, connection: &Connection, mark: &CallMark) -> bool {
+    /// Records that the call with `baseline` on `connection` timed out; returns
+    /// true if the connection must be replaced now.
+    pub(crate) fn note_late(&self, connection: &Connection, baseline: &CallBaseline) -> bool {
         let mut state = self.lock();
         let Some(kept) = state.kept.as_mut().filter(|kept| kept.is_same(connection)) else {
             return false;
         };
-        kept.note_late(mark);
+        kept.note_late(baseline);
         if !kept.is_silent() {
             return false;
         }
-        if !kept.proved {
+        if !kept.has_replied {
             state.kept = None;
-            state.pause();
+            state.back_off();
             return false;
         }
-        Instant::now() >= state.paused_until
+        Instant::now() >= state.retry_at
     }
 
-    /// The connection, when it is open.
+    /// Returns the connection if it is open.
     pub(crate) fn open_connection(&self) -> Option<Connection> {
         let state = self.lock();
         let kept = state.kept.as_ref().filter(|kept| kept.is_open())?;
@@ -258,19 +263,19 @@
             .is_some_and(KeptConnection::is_open)
     }
 
-    /// Whether there is a connection, or will be.
+    /// Whether there is an open connection or a handshake in progress.
     pub(crate) fn is_kept(&self) -> bool {
         let state = self.lock();
         state.handshake.is_some() || state.kept.as_ref().is_some_and(KeptConnection::is_open)
     }
 
-    /// When a call last asked for the connection.
+    /// When a call last requested the connection.
     pub(crate) fn last_used(&self) -> Instant {
-        self.lock().used
+        self.lock().last_used
     }
 
-    /// Ends the connection once no call uses it.
-    pub(crate) fn end(&self) {
+    /// Drops the connection, which closes once no call uses it.
+    pub(crate) fn release(&self) {
         self.lock().kept = None;
     }
 
--- a/crates/hibiscus-peer/src/tls.rs
+++ b/crates/hibiscus-peer/src/tls.rs
@@ -17,14 +17,14 @@
 use crate::keys::LinkKeys;
 use crate::keys::Result;
 
-/// Time without a packet after which a connection is closed.
+/// Time without a received packet after which a connection is closed.
 const IDLE_LIMIT_MS: u32 = 4_000;
-/// Time between keep-alive packets on an idle connection.
-const KEEP_ALIVE: Duration = Duration::from_millis(1_500);
-/// Calls in progress on one connection.
+/// Interval between keep-alive packets on an idle connection.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Most calls in progress on one connection.
 const STREAM_LIMIT: u32 = 4_096;
 
-/// Settings of the accepting side.
+/// Returns the settings of the accepting side.
 pub(crate) fn server_config(keys: &LinkKeys<'_>) -> Result<ServerConfig> {
     let parsed = keys.parse()?;
     let verifier = WebPkiClientVerifier::builder_with_provider(parsed.roots, keys::provider())
@@ -43,7 +43,7 @@
     Ok(config)
 }
 
-/// Settings of the connecting side.
+/// Returns the settings of the connecting side.
 pub(crate) fn client_config(keys: &LinkKeys<'_>) -> Result<ClientConfig> {
     let parsed = keys.parse()?;
     let tls = rustls::ClientConfig::builder_with_provider(keys::provider())
@@ -59,49 +59,50 @@
     Ok(config)
 }
 
-/// Timeouts and limits of both sides.
+/// Returns the timeouts and limits of both sides.
 pub(crate) fn transport() -> Arc<TransportConfig> {
     let mut transport = TransportConfig::default();
     let idle = IdleTimeout::from(VarInt::from_u32(IDLE_LIMIT_MS));
     transport.max_idle_timeout(Some(idle));
-    transport.keep_alive_interval(Some(KEEP_ALIVE));
+    transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     transport.max_concurrent_bidi_streams(VarInt::from_u32(STREAM_LIMIT));
     Arc::new(transport)
 }
 
-/// Time without a packet after which a connection of a pinned link is closed:
-/// longer than the pauses between the questions of an instance in need, and no
-/// packet is sent to keep it open.
+/// Time without a received packet after which a connection of a pinned link is
+/// closed: longer than the pauses between the requests of an instance that needs
+/// tokens. No keep-alive packets are sent.
 const PINNED_IDLE_MS: u32 = 20_000;
-/// Calls in progress on one connection of a pinned link. The library prepares
-/// memory for each from the start: 4,096 take hundreds of kilobytes.
-const PINNED_STREAMS: u32 = 32;
+/// Most calls in progress on one connection of a pinned link. The library
+/// allocates memory for each in advance: 4,096 take hundreds of kilobytes.
+const PINNED_STREAM_LIMIT: u32 = 32;
 /// Largest message of a pinned link, in bytes.
-pub(crate) const PINNED_MESSAGE: usize = 64 * 1024;
-/// Bytes in flight in each direction on one connection of a pinned link: a few
-/// of the largest messages.
-const PINNED_WINDOW: u32 = 256 * 1024;
-/// First guess of the round trip: instances are a few milliseconds apart, and
-/// a lost first packet is sent again after three of it.
-const PINNED_ROUND_TRIP: Duration = Duration::from_millis(100);
-/// Bytes of a handshake that may wait, which is some kilobytes long.
-const PINNED_CRYPTO: usize = 16 * 1024;
+pub(crate) const PINNED_MESSAGE_BYTES: usize = 64 * 1024;
+/// Bytes in flight in each direction on one connection of a pinned link: enough
+/// for a few of the largest messages.
+const PINNED_WINDOW_BYTES: u32 = 256 * 1024;
+/// Initial estimate of the round-trip time: instances are a few milliseconds
+/// apart, and a lost first packet is sent again after three times this estimate.
+const PINNED_INITIAL_RTT: Duration = Duration::from_millis(100);
+/// Bytes of handshake data that may be buffered; a handshake takes some
+/// kilobytes.
+const PINNED_CRYPTO_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Timeouts and limits of both sides of a pinned link, whose processes are
-/// many and small.
+/// Returns the timeouts and limits of both sides of a pinned link, which
+/// connects many small processes.
 pub(crate) fn pinned_transport() -> Arc<TransportConfig> {
     let mut transport = TransportConfig::default();
     let idle = IdleTimeout::from(VarInt::from_u32(PINNED_IDLE_MS));
     transport.max_idle_timeout(Some(idle));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(PINNED_STREAMS));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(PINNED_STREAM_LIMIT));
     transport.max_concurrent_uni_streams(VarInt::from_u32(0));
-    transport.stream_receive_window(VarInt::from_u32(PINNED_MESSAGE as u32));
-    transport.receive_window(VarInt::from_u32(PINNED_WINDOW));
-    transport.send_window(u64::from(PINNED_WINDOW));
+    transport.stream_receive_window(VarInt::from_u32(PINNED_MESSAGE_BYTES as u32));
+    transport.receive_window(VarInt::from_u32(PINNED_WINDOW_BYTES));
+    transport.send_window(u64::from(PINNED_WINDOW_BYTES));
     transport.datagram_receive_buffer_size(None);
-    transport.crypto_buffer_size(PINNED_CRYPTO);
-    transport.initial_rtt(PINNED_ROUND_TRIP);
-    // Messages are small, so larger packets do not pay for their search.
+    transport.crypto_buffer_size(PINNED_CRYPTO_BUFFER_BYTES);
+    transport.initial_rtt(PINNED_INITIAL_RTT);
+    // Messages are small, so larger packets aren't worth the probes for them.
     transport.mtu_discovery_config(None);
     Arc::new(transport)
 }
--- a/crates/hibiscus-peer/tests/link.rs
+++ b/crates/hibiscus-peer/tests/link.rs
@@ -1,4 +1,5 @@
-//! The link between processes: refusals, slow peers, restarts, cut messages.
+//! The link between processes: refusals, slow peers, restarts and incomplete
+//! messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,13 +18,13 @@
 use hibiscus_support::keys::FleetAuthority;
 use hibiscus_support::keys::InstanceKeys;
 
-/// Time that a call may take where a reply is expected.
+/// Timeout of calls that expect a reply.
 const REPLY_LIMIT: Duration = Duration::from_secs(10);
-/// Time that a call may take where none is expected.
+/// Timeout of calls that expect no reply.
 const SILENCE_LIMIT: Duration = Duration::from_millis(300);
-/// Calls in progress to one peer.
+/// Most calls in progress to one peer.
 const CALL_LIMIT: usize = 4_096;
-/// Time that a restarted peer may take to be reached again.
+/// Time within which a restarted peer must be reachable again.
 const RESTART_LIMIT: Duration = Duration::from_secs(20);
 
 /// Opens a link on `listen`.
@@ -45,12 +46,12 @@
     Ok((PeerLink::start(&options, inbox)?, calls))
 }
 
-/// A loopback address with a free port.
+/// Returns a loopback address with a free port.
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A link on a free port.
+/// Opens a link on a free port.
 fn open_any(keys: &InstanceKeys) -> (PeerLink, Receiver<PeerCall>) {
     open(keys, any_port()).expect("the link opens")
 }
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_call_gets_the_reply_to_its_own_body() {
+fn each_call_receives_the_reply_to_its_own_body() {
     let fleet = FleetAuthority::generate();
     let (one, _calls) = open_any(&fleet.issue());
     let (other, calls) = open_any(&fleet.issue());
@@ -90,12 +91,12 @@
     assert!(matches!(inward, Err(LinkError::NoReply)), "{inward:?}");
     let outward = own.call(foreign.address(), b"grant".to_vec(), REPLY_LIMIT);
     assert!(matches!(outward, Err(LinkError::NoReply)), "{outward:?}");
-    assert!(own_calls.try_recv().is_err(), "a foreign call came in");
-    assert!(foreign_calls.try_recv().is_err(), "a call went out");
+    assert!(own_calls.try_recv().is_err(), "a foreign call was received");
+    assert!(foreign_calls.try_recv().is_err(), "a call was sent");
 }
 
 #[test]
-fn keys_that_cannot_be_used_are_named() {
+fn the_error_names_the_key_that_cannot_be_used() {
     let fleet = FleetAuthority::generate();
     let good = fleet.issue();
     let garbled = |part: &str| InstanceKeys {
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn a_peer_that_does_not_answer_delays_no_other() {
+fn a_peer_that_does_not_reply_delays_no_other_peer() {
     let fleet = FleetAuthority::generate();
     let (own, _calls) = open_any(&fleet.issue());
     let (silent, _unread) = open_any(&fleet.issue());
@@ -156,7 +157,7 @@
     }
     for _call in 0..100 {
         let reply = own.call(quick.address(), b"now".to_vec(), REPLY_LIMIT);
-        assert_eq!(reply.expect("the quick peer answers"), b"now");
+        assert_eq!(reply.expect("the quick peer replies"), b"now");
     }
 }
 
@@ -176,7 +177,7 @@
         }
     }
     let last = waiting.pop().expect("calls were started");
-    assert!(last.wait().is_err(), "a call over the bound got a reply");
+    assert!(last.wait().is_err(), "a call over the limit got a reply");
     let mut received = Vec::from_iter(first);
     while let Ok(call) = unread.recv_timeout(SILENCE_LIMIT) {
         received.push(call);
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn a_message_that_is_cut_is_never_taken_for_whole() {
+fn an_incomplete_message_is_never_accepted_as_complete() {
     let fleet = FleetAuthority::generate();
     let (own, _calls) = open_any(&fleet.issue());
     let (other, calls) = open_any(&fleet.issue());
@@ -218,8 +219,8 @@
     let mut cut = 0;
     let mut unanswered = Vec::new();
     for step in 0..20 {
-        // An unanswered call keeps the connection open, so that what was
-        // buffered of the cut one is still sent.
+        // An unanswered call keeps the connection open, so that the buffered
+        // part of the incomplete message is still sent.
         let call = own.start_call(other.address(), b"hold".to_vec(), REPLY_LIMIT);
         unanswered.push((call, calls.recv_timeout(REPLY_LIMIT)));
         let timeout = Duration::from_millis(step);
@@ -228,8 +229,12 @@
             cut += 1;
         }
         while let Ok(call) = calls.recv_timeout(SILENCE_LIMIT) {
-            assert_eq!(call.body.len(), whole.len(), "a part came as the whole");
+            assert_eq!(
+                call.body.len(),
+                whole.len(),
+                "a part was accepted as complete"
+            );
         }
     }
-    assert!(cut > 0, "no call was cut");
+    assert!(cut > 0, "no call timed out while sending");
 }
--- a/crates/hibiscus-peer/tests/memory.rs
+++ b/crates/hibiscus-peer/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of kept connections, alone in its process so that it can be counted.
+//! Memory of kept connections, alone in its process so that it can be measured.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -10,14 +10,15 @@
 use hibiscus_peer::PinnedLink;
 use tokio::sync::mpsc;
 
-/// Time of a call.
+/// Timeout of a call.
 const LIMIT: Duration = Duration::from_secs(10);
-/// Connections that are open before memory is counted.
+/// Connections that are open at the first measurement of memory.
 const WARM_COUNT: u8 = 4;
-/// Connections that are open when it is counted.
+/// Connections that are open at the second measurement.
 const KEPT_COUNT: u8 = 60;
-/// Memory of both ends of a connection, in bytes. Of 88 MB a tenth may go to
-/// 64 connections out and as many in, so each end has some 64 KB.
+/// Memory limit for both ends of a connection, in bytes. A tenth of 88 MB is
+/// available for 64 outgoing and as many incoming connections, so each end may
+/// take some 64 KB.
 const BOTH_ENDS_LIMIT: usize = 128 * 1024;
 /// Bytes of a page.
 const PAGE_BYTES: usize = 4_096;
@@ -41,8 +42,8 @@
     (link, address.port(), calls)
 }
 
-// Guards against: each end of a connection took hundreds of kilobytes for
-// streams that were never opened, and processes were killed for memory.
+// Guards against: each end of a connection allocated hundreds of kilobytes for
+// streams that were never opened, and processes were killed for lack of memory.
 #[test]
 fn kept_connections_to_a_whole_fleet_fit_a_small_machine() {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/hibiscus-peer/tests/overload.rs
+++ b/crates/hibiscus-peer/tests/overload.rs
@@ -1,5 +1,5 @@
-//! The link between instances that are too slow: handshakes are counted, not
-//! timed.
+//! The link between overloaded instances. The tests count handshakes instead of
+//! measuring time.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,11 +13,11 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-/// Time of a call that is answered.
+/// Timeout of calls that receive a reply.
 const LIMIT: Duration = Duration::from_secs(10);
-/// Time of a call that is not.
+/// Timeout of calls that receive none.
 const SHORT_LIMIT: Duration = Duration::from_millis(30);
-/// Pause between two looks at what another task does.
+/// Pause between two checks of another task's progress.
 const LOOK_PAUSE: Duration = Duration::from_millis(5);
 /// Largest datagram.
 const DATAGRAM_BYTES: usize = 2_048;
@@ -54,7 +54,7 @@
         other.pins.insert(self.keys.pin());
     }
 
-    /// Answers each call with its own body from now on; the link stays.
+    /// Replies to each call with its own body from now on, and returns the link.
     fn echo(self) -> PinnedLink {
         let mut calls = self.calls;
         tokio::spawn(async move {
@@ -67,8 +67,8 @@
     }
 }
 
-/// Passes datagrams between one link and a peer that can be exchanged, and
-/// keeps them back while it is shut.
+/// Forwards datagrams between one link and a replaceable peer, and holds them
+/// back while it is closed.
 struct TestRelay {
     address: SocketAddr,
     open: watch::Sender<bool>,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Passes datagrams for as long as the relay stands.
+/// Forwards datagrams until the relay is dropped.
 async fn pass(
     outer: UdpSocket,
     inner: UdpSocket,
@@ -143,10 +143,10 @@
     runtime.block_on(test);
 }
 
-// Guards against: a late reply dropped the connection, and each question of a
-// slow fleet paid a handshake.
+// Guards against: a late reply dropped the connection, so each request of a slow
+// fleet cost a handshake.
 #[test]
-fn a_peer_that_answers_late_costs_no_new_connection() {
+fn a_peer_that_replies_late_costs_no_new_connection() {
     run(async {
         let (own, mut slow) = (TestPeer::open(), TestPeer::open());
         own.know(&slow);
@@ -169,10 +169,10 @@
     });
 }
 
-// Guards against: a slow process gave tokens away to callers that had left,
-// and the tokens were lost.
+// Guards against: a slow process transferred tokens to callers that no longer
+// waited, and the tokens were lost.
 #[test]
-fn a_call_whose_caller_left_is_known_to_be_unwanted() {
+fn a_process_detects_that_the_caller_of_a_call_no_longer_waits() {
     run(async {
         let (own, mut slow) = (TestPeer::open(), TestPeer::open());
         own.know(&slow);
@@ -190,7 +190,7 @@
         }
         assert!(
             !call.is_caller_waiting(),
-            "the caller is not known to have left"
+            "the caller no longer waits, but this is not detected"
         );
         let (reply, wanted) = tokio::join!(own.link.call(slow.address, b"abc", LIMIT), async {
             let call = slow.calls.recv().await.expect("a call");
@@ -198,13 +198,13 @@
             call.reply(b"now".to_vec());
             wanted
         });
-        assert!(wanted, "a caller that waits was taken for gone");
+        assert!(wanted, "a caller that waits was considered gone");
         assert_eq!(reply.as_deref(), Some(&b"now"[..]));
     });
 }
 
-// Guards against: a handshake ran inside the time of one call, was thrown away
-// with it, and the next call began another.
+// Guards against: a handshake was bound to the timeout of one call and discarded
+// with it, so the next call began another.
 #[test]
 fn a_peer_that_is_slow_to_accept_costs_one_handshake() {
     run(async {
@@ -233,10 +233,10 @@
     });
 }
 
-// Guards against: each call to a peer that refuses the connection paid a
+// Guards against: each call to a peer that refuses the connection cost a
 // handshake on both sides.
 #[test]
-fn a_peer_that_refuses_is_not_asked_anew_by_each_call() {
+fn calls_to_a_peer_that_refuses_do_not_each_begin_a_handshake() {
     run(async {
         let (own, other) = (TestPeer::open(), TestPeer::open());
         own.pins.insert(other.keys.pin());
@@ -245,13 +245,14 @@
             assert_eq!(refused, None);
         }
         let counts = own.link.counts();
-        // The pauses of ten attempts add up to more than 200 calls can last.
+        // The backoff delays of ten attempts add up to more than the longest
+        // duration of 200 calls.
         assert!(counts.handshakes_begun <= 10, "{counts:?}");
     });
 }
 
-// Guards against: a process that was replaced at its address without a word
-// was asked over the connection of its predecessor until that ended.
+// Guards against: after a process was replaced at its address without closing
+// its connection, calls used that connection until it timed out.
 #[test]
 fn a_peer_that_was_replaced_at_its_address_is_reached_again() {
     run(async {
@@ -277,7 +278,7 @@
 
 // Guards against: connections to all peers of a large fleet were kept at once.
 #[test]
-fn connections_that_are_kept_are_bounded() {
+fn the_number_of_kept_connections_is_bounded() {
     run(async {
         let own = TestPeer::open();
         let mut links = Vec::new();
@@ -294,10 +295,10 @@
     });
 }
 
-// Guards against: a process that many peers reach for at once worked on all
-// their handshakes together, and none was done before its peer gave up.
+// Guards against: a process that many peers connect to at once processed all
+// their handshakes concurrently, and none finished before its peer timed out.
 #[test]
-fn handshakes_of_peers_beyond_a_bound_are_refused_unread() {
+fn incoming_handshakes_beyond_a_limit_are_refused_unprocessed() {
     run(async {
         let busy = TestPeer::open();
         let sink = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
@@ -312,7 +313,8 @@
             let (length, _from) = received.expect("a first datagram");
             assert_eq!(reply, None);
             let sender = UdpSocket::bind("127.0.0.1:0").await.expect("a free port");
-            // The peer's next datagrams do not come, so its handshake stays.
+            // The peer's next datagrams don't arrive, so its handshake stays in
+            // progress.
             let sent = sender.send_to(&datagram[..length], busy.address).await;
             assert!(sent.is_ok(), "{sent:?}");
             senders.push((sender, other));
--- a/crates/hibiscus-peer/tests/pinned.rs
+++ b/crates/hibiscus-peer/tests/pinned.rs
@@ -19,7 +19,7 @@
     address: SocketAddr,
 }
 
-/// Opens a link that answers each call with its reverse.
+/// Opens a link that replies to each call with its reversed body.
 fn open() -> TestPeer {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let address = socket.local_addr().expect("an address");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn instances_that_know_each_other_answer() {
+fn instances_that_pin_each_other_reply() {
     run(async {
         let (first, second) = (open(), open());
         first.pins.insert(second.keys.pin());
@@ -62,9 +62,9 @@
     });
 }
 
-// Guards against: small windows and bounds of the link cut what calls carry.
+// Guards against: small windows and limits of the link truncate messages.
 #[test]
-fn messages_of_up_to_64_kilobytes_pass_and_larger_ones_do_not() {
+fn messages_of_up_to_64_kilobytes_arrive_and_larger_ones_do_not() {
     run(async {
         let (first, second) = (open(), open());
         first.pins.insert(second.keys.pin());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_process_that_is_not_announced_gets_no_answer() {
+fn a_process_that_is_not_announced_receives_no_reply() {
     run(async {
         let (first, second) = (open(), open());
         first.pins.insert(second.keys.pin());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_process_that_was_removed_connects_no_more() {
+fn a_process_that_was_removed_can_no_longer_connect() {
     run(async {
         let (first, second) = (open(), open());
         first.pins.insert(second.keys.pin());
