--- a/crates/hibiscus-membership/tests/detector.rs
+++ b/crates/hibiscus-membership/tests/silence.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hibiscus_membership::detector::FailureDetector;
-use hibiscus_membership::detector::SUSPICION_LIMIT;
 use hibiscus_membership::rings::FULL_MONITORING_LIMIT;
 use hibiscus_membership::rings::RING_COUNT;
+use hibiscus_membership::silence::FailureDetector;
+use hibiscus_membership::silence::SUSPICION_LIMIT;
 use hibiscus_membership::suspicion::FailureSuspicion;
 use hibiscus_membership::suspicion::MonitorFinding;
 use hibiscus_membership::suspicion::SuspicionMessage;
--- a/crates/hibiscus-traffic/src/members.rs
+++ b/crates/hibiscus-traffic/src/members.rs
@@ -2,7 +2,7 @@
 //! suspicions.
 //!
 //! The directory decides which instances this one monitors and what it must
-//! send ([`hibiscus_membership::detector`]); this module holds the tasks and
+//! send ([`hibiscus_membership::silence`]); this module holds the tasks and
 //! their timing. Updates are sent to the contacts at once and again after a
 //! pause; a periodic exchange with one contact repairs lost messages.
 
@@ -16,11 +16,11 @@
 use hibiscus_types::IncarnationId;
 use tokio::time::Instant;
 
-use crate::dialect::RequestDialect;
 use crate::model::InstanceEntry;
 use crate::peers;
 use crate::probe;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Minimum time between two updates to a contact: simultaneous findings share a
 /// message, and the loss of many machines at once costs no more messages.
@@ -33,12 +33,12 @@
 
 /// Monitors other instances at the readiness path `path` and exchanges
 /// suspicions, for as long as the runtime runs.
-pub async fn keep<D: RequestDialect>(state: Rc<TrafficState<D>>, path: &'static str) {
+pub async fn keep<D: WireFormat>(state: Rc<TrafficState<D>>, path: &'static str) {
     let running = RunningMonitors::default();
     let mut next_update = Instant::now();
     let mut next_exchange = Instant::now() + EXCHANGE_INTERVAL;
     loop {
-        let has_updates = state.directory.borrow().has_news();
+        let has_updates = state.directory.borrow().has_updates();
         let due = if has_updates {
             next_update
         } else {
@@ -51,7 +51,7 @@
         start_monitors(&state, &running, path);
         let now = Instant::now();
         if now >= next_update {
-            let update = state.directory.borrow_mut().next_news();
+            let update = state.directory.borrow_mut().next_update();
             if let Some(message) = update {
                 send_to_contacts(&state, &message);
                 next_update = now + UPDATE_INTERVAL;
@@ -65,13 +65,13 @@
 }
 
 /// Starts monitoring the instances that this one must monitor and doesn't yet.
-fn start_monitors<D: RequestDialect>(
+fn start_monitors<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     running: &RunningMonitors,
     path: &'static str,
 ) {
     let directory = state.directory.borrow();
-    for entry in directory.watched() {
+    for entry in directory.monitored() {
         if !running.borrow_mut().insert(entry.incarnation) {
             continue;
         }
@@ -81,7 +81,7 @@
 }
 
 /// Monitors one process for as long as this instance must.
-async fn monitor<D: RequestDialect>(
+async fn monitor<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     entry: InstanceEntry,
     path: &'static str,
@@ -94,17 +94,17 @@
     state.membership_changed.notify_one();
 }
 
-/// Sends an update to all contacts.
-fn send_to_contacts<D: RequestDialect>(state: &Rc<TrafficState<D>>, message: &SuspicionMessage) {
-    for contact in state.directory.borrow().contacts() {
+/// Sends an update to all contact_addresses.
+fn send_to_contacts<D: WireFormat>(state: &Rc<TrafficState<D>>, message: &SuspicionMessage) {
+    for contact in state.directory.borrow().contact_addresses() {
         tokio::task::spawn_local(send(Rc::clone(state), contact, message.clone()));
     }
 }
 
 /// Exchanges suspicions with one contact, so that both receive what they missed.
-fn exchange<D: RequestDialect>(state: &Rc<TrafficState<D>>) {
+fn exchange<D: WireFormat>(state: &Rc<TrafficState<D>>) {
     let mut directory = state.directory.borrow_mut();
-    let contact = fastrand::choice(directory.contacts());
+    let contact = fastrand::choice(directory.contact_addresses());
     let Some(contact) = contact.filter(|_contact| directory.is_large()) else {
         return;
     };
@@ -113,7 +113,7 @@
 }
 
 /// Sends a message to one instance and merges its response.
-async fn send<D: RequestDialect>(
+async fn send<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     contact: SocketAddr,
     message: SuspicionMessage,
@@ -125,6 +125,9 @@
     let Some(response) = peers::send_suspicions(&link, contact, message).await else {
         return;
     };
-    state.directory.borrow_mut().take_answer(response, joining);
+    state
+        .directory
+        .borrow_mut()
+        .handle_response(response, joining);
     state.membership_changed.notify_one();
 }
--- a/crates/hibiscus-traffic/src/peers.rs
+++ b/crates/hibiscus-traffic/src/peers.rs
@@ -30,10 +30,10 @@
 use tokio::sync::mpsc;
 
 use crate::budgets::TokenRefusal;
-use crate::dialect::RequestDialect;
 use crate::state::TrafficState;
 use crate::supply;
-use crate::suspects::EndingNews;
+use crate::suspects::CrashNotice;
+use crate::wire_format::WireFormat;
 
 /// Received requests that can wait for their responses.
 pub const REQUEST_QUEUE_CAPACITY: usize = 256;
@@ -71,7 +71,7 @@
     /// Exchanges failure suspicions.
     Suspicions(SuspicionMessage),
     /// Reports crashed servers and the requests under which they crashed.
-    Crashes(EndingNews),
+    Crashes(CrashNotice),
     /// Requests the identity of the process that runs the instance.
     Process,
 }
@@ -110,7 +110,7 @@
 }
 
 /// Responds to requests of other instances for as long as the runtime runs.
-pub async fn answer_peer_requests<D: RequestDialect>(
+pub async fn answer_peer_requests<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     mut calls: mpsc::Receiver<PinnedCall>,
 ) {
@@ -134,7 +134,7 @@
 
 /// Responds to one request. Each runs as a task, since a draw may take some
 /// time.
-async fn serve_request<D: RequestDialect>(
+async fn serve_request<D: WireFormat>(
     state: Rc<TrafficState<D>>,
     request: PeerRequest,
     call: PinnedCall,
@@ -159,7 +159,7 @@
 }
 
 /// Handles one request and returns its response.
-async fn respond<D: RequestDialect>(
+async fn respond<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     request: &PeerRequest,
 ) -> PeerResponse {
@@ -189,12 +189,12 @@
         }
         PeerRequest::Suspicions(message) => {
             let mut directory = state.directory.borrow_mut();
-            let response = directory.take_message(message.clone());
+            let response = directory.handle_message(message.clone());
             state.membership_changed.notify_one();
             PeerResponse::Suspicions(response)
         }
         PeerRequest::Crashes(news) => {
-            state.take_endings(news);
+            state.apply_crash_notice(news);
             PeerResponse::CrashesRecorded
         }
     }
@@ -233,7 +233,7 @@
 }
 
 /// Reports crashed servers to an instance; returns false without a response.
-pub async fn send_crashes(link: &PinnedLink, peer: SocketAddr, news: &EndingNews) -> bool {
+pub async fn send_crashes(link: &PinnedLink, peer: SocketAddr, news: &CrashNotice) -> bool {
     let request = PeerRequest::Crashes(news.clone());
     let response = send_request(link, peer, &request, BACKGROUND_CALL_TIMEOUT).await;
     response == Some(PeerResponse::CrashesRecorded)
--- a/crates/hibiscus-traffic/src/state.rs
+++ b/crates/hibiscus-traffic/src/state.rs
@@ -21,35 +21,35 @@
 use crate::budgets::BudgetHandle;
 use crate::budgets::BudgetManager;
 use crate::callers::CallerRegistry;
-use crate::dialect::RequestDialect;
+use crate::crash_detector::CrashDetector;
 use crate::directory::InstanceDirectory;
-use crate::endings::EndingWatch;
 use crate::holders::HolderFailures;
 use crate::holders::HolderTable;
 use crate::machine::MachineLimits;
 use crate::machine::MachineUse;
-use crate::measures::CONFIG_VERSIONS;
-use crate::measures::TrafficLevels;
-use crate::measures::TrafficMeasures;
 use crate::memory_pressure::MemoryPressure;
 use crate::memory_pressure::PressureGauge;
 use crate::model::FleetConfig;
 use crate::model::InstanceEntry;
 use crate::relays;
 use crate::retries::RetryCounter;
-use crate::roster::RosterChange;
-use crate::roster::ServerRoster;
+use crate::server_registry::RegistryChange;
+use crate::server_registry::ServerRegistry;
 use crate::servers;
 use crate::servers::ServerPool;
 use crate::shares::MemoryShares;
 use crate::state::holding::HeldRanks;
 use crate::state::start::StartupProgress;
-use crate::suspects::SuspectDesk;
+use crate::suspects::SuspectTracker;
 use crate::table::RouteTable;
 use crate::tally::WorkTally;
+use crate::traffic_metrics::CONFIG_VERSIONS;
+use crate::traffic_metrics::TrafficGauges;
+use crate::traffic_metrics::TrafficMetrics;
 use crate::updates::ConfigArrival;
 use crate::updates::TrafficUpdate;
 use crate::usage_log::UsageLogger;
+use crate::wire_format::WireFormat;
 
 /// Timeout of request heads before a configuration is active: the usual
 /// setting.
@@ -69,7 +69,7 @@
     /// The known instances.
     pub directory: InstanceDirectory,
     /// The requests under which servers crashed.
-    pub suspects: SuspectDesk,
+    pub suspects: SuspectTracker,
     /// Share of the machine's memory for each purpose.
     pub memory_shares: MemoryShares,
     /// Resource limits of the process.
@@ -111,14 +111,14 @@
     /// Counts of the work for the fleet.
     pub tally: Rc<WorkTally>,
     /// Counters and histograms.
-    pub measures: Rc<TrafficMeasures>,
+    pub measures: Rc<TrafficMetrics>,
     /// Detects crashed servers.
-    pub crash_detector: Rc<EndingWatch>,
+    pub crash_detector: Rc<CrashDetector>,
     /// The requests under which servers crashed.
-    pub suspects: Rc<SuspectDesk>,
+    pub suspects: Rc<SuspectTracker>,
     /// The servers with their connections.
     pub servers: RefCell<ServerPool>,
-    server_registry: RefCell<ServerRoster>,
+    server_registry: RefCell<ServerRegistry>,
     table: RefCell<Option<Rc<RouteTable>>>,
     startup: StartupProgress,
     /// When the route table became active.
@@ -140,7 +140,7 @@
     gauge: RefCell<PressureGauge>,
 }
 
-impl<D: RequestDialect> TrafficState<D> {
+impl<D: WireFormat> TrafficState<D> {
     /// Creates the state before any update.
     pub fn new(parts: TrafficComponents<D>) -> Self {
         let own = parts.directory.own().name.clone();
@@ -321,7 +321,7 @@
                 self.review_waiting();
             }
             TrafficUpdate::Suspects(update) => {
-                let keeps = self.keeps_suspects();
+                let keeps = self.maintains_suspects();
                 self.suspects.take_stored(update, keeps, self.now());
             }
             TrafficUpdate::Instance(entry) => {
@@ -391,7 +391,7 @@
         let pin = entry.pin;
         let newest = entry.clone();
         let _was_new = directory.announce(entry);
-        if directory.knows(&newest) {
+        if directory.is_current(&newest) {
             self.pins.insert(pin);
         }
         for pin in directory.take_replaced_pins() {
@@ -421,10 +421,10 @@
     }
 
     /// Closes callers' connections whose request heads take too long.
-    pub fn end_slow_heads(&self) {
+    pub fn close_slow_heads(&self) {
         let limits = self.table().map(|table| table.config().limits);
         let limit = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.header_timeout);
-        let ended = self.callers.end_slow_heads(limit);
+        let ended = self.callers.close_slow_heads(limit);
         if ended > 0 {
             event!(
                 EventCode::SlowHeadsEnded,
@@ -439,7 +439,7 @@
         let Some(table) = self.table() else {
             return;
         };
-        let instances = self.directory.borrow().live();
+        let instances = self.directory.borrow().live_count();
         let servers = self.servers.borrow();
         for (service, most) in &table.config().connections {
             servers.set_idle_limit(service, servers::idle_share(*most, instances));
@@ -451,11 +451,11 @@
         let now = self.now();
         let directory = self.directory.borrow();
         let servers = self.servers.borrow();
-        let instances = directory.may_serve();
-        let levels = TrafficLevels {
+        let instances = directory.possibly_live_count();
+        let levels = TrafficGauges {
             in_progress: self.in_progress(),
             connections: self.callers.len(),
-            instances: directory.live(),
+            instances: directory.live_count(),
             config_version: self.table().map_or(0, |table| table.config().version),
             config_age: now.saturating_sub(self.table_since.get()),
             servers: servers.count(),
@@ -470,7 +470,7 @@
             accounts: self.budgets.account_count(),
             account_lag: self.budgets.unread_records(),
         };
-        levels.show();
+        levels.publish();
         self.tally.show();
         if self.pressure.note_levels(&levels, &self.tally) {
             self.budgets
@@ -480,7 +480,7 @@
 
     /// Records that the thread's timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
-        self.measures.timer_late(delay);
+        self.measures.record_timer_delay(delay);
         self.pressure.note_lateness(delay);
     }
 
@@ -490,10 +490,10 @@
         self.apply_server_changes(changes);
     }
 
-    fn apply_server_changes(&self, changes: impl IntoIterator<Item = RosterChange>) {
+    fn apply_server_changes(&self, changes: impl IntoIterator<Item = RegistryChange>) {
         for change in changes {
             match &change {
-                RosterChange::Present(entry) => event!(
+                RegistryChange::Present(entry) => event!(
                     EventCode::ServerKnown,
                     "server={} service={} address={} phase={:?}",
                     entry.name,
@@ -501,7 +501,7 @@
                     entry.address,
                     entry.phase
                 ),
-                RosterChange::Gone(name) => event!(EventCode::ServerGone, "server={name}"),
+                RegistryChange::Gone(name) => event!(EventCode::ServerGone, "server={name}"),
             }
             self.servers.borrow_mut().apply(change);
         }
--- a/crates/hibiscus-traffic/src/state/holding.rs
+++ b/crates/hibiscus-traffic/src/state/holding.rs
@@ -8,11 +8,11 @@
 use hibiscus_types::BudgetName;
 
 use crate::budgets::BudgetRole;
-use crate::dialect::RequestDialect;
 use crate::directory::InstanceDirectory;
 use crate::holders::GroupHolders;
 use crate::holders::HOLDERS_PER_BUDGET;
 use crate::state::TrafficState;
+use crate::wire_format::WireFormat;
 
 /// Time for instances that start together to announce themselves and to
 /// discover each other: they start within 0.3 s, and an append takes
@@ -32,7 +32,7 @@
     first: bool,
 }
 
-impl<D: RequestDialect> TrafficState<D> {
+impl<D: WireFormat> TrafficState<D> {
     /// Returns the role of this instance for `budget`. Until the other instances
     /// are known it draws only for waiting requests: otherwise each instance of
     /// a starting fleet would draw as if it were alone.
@@ -43,7 +43,7 @@
             DrawMode::OnDemand
         } else if holders.own_rank.is_none() {
             DrawMode::Release
-        } else if directory.reaches_most() || directory.may_serve() <= most {
+        } else if directory.reaches_majority() || directory.possibly_live_count() <= most {
             DrawMode::Prefetch
         } else {
             DrawMode::OnDemand
