--- a/crates/hibiscus-membership/src/rings.rs
+++ b/crates/hibiscus-membership/src/rings.rs
@@ -3,7 +3,7 @@
 //! In a small fleet, every instance monitors all others. In a larger one the
 //! names are placed on several rings, each with its own order. On each ring an
 //! instance monitors its successors up to and including the first that it
-//! believes responsive. A responsive instance therefore has about one monitor
+//! considers responsive. A responsive instance therefore has about one monitor
 //! on each ring, also when its predecessor is unresponsive.
 
 use std::collections::BTreeSet;
@@ -52,7 +52,7 @@
     }
 
     /// Returns the instances that this instance monitors; `is_responsive` says
-    /// which instances it believes responsive.
+    /// which instances it considers responsive.
     pub fn monitored(
         &self,
         is_responsive: impl Fn(&InstanceName) -> bool,
--- a/crates/hibiscus-traffic/src/lib.rs
+++ b/crates/hibiscus-traffic/src/lib.rs
@@ -1,32 +1,35 @@
 //! The request path of an instance, on one thread.
 //!
-//! A current-thread runtime owns the callers' and the servers' connections.
-//! The parts meet as follows:
+//! A current-thread runtime owns the connections of callers and servers. The
+//! modules work together as follows:
 //!
-//! - [`port`] accepts callers' connections, [`callers`] bounds them, and each
-//!   request goes to [`handler`], which admits it, places it, forwards it and answers.
-//! - [`servers`] holds the backend servers that [`server_registry`] knows, with their
-//!   kept connections ([`connect`], [`bounded`], [`idle`]) and what their
-//!   processes have said of new requests ([`availability_table`]); [`response_body`] passes an
-//!   answer's bytes on and checks that it is whole.
-//! - [`crash_detector`] finds out whether a server that broke a request's connection
-//!   has ended, and [`suspects`] what follows for those under which servers do.
-//! - [`supply`] gets a request's tokens from [`budgets`], or from the instances
-//!   that [`holders`] names; [`retries`] holds what may be sent twice,
-//!   [`directory`] which instances callers are told of; [`members`] has them
-//!   watched ([`probe`]) and passes on what watchers find.
-//! - [`traffic_metrics`] counts what passes and [`tally`] the work for the fleet, for
-//!   the operators' metrics; [`machine`] tells what the process uses.
-//! - [`shares`] divides the machine's memory among them; [`memory_pressure`] says what to
-//!   give up as it runs out.
-//! - [`relays`] says which instances read the operators' configuration and the
-//!   servers' entries as they come, [`config_delta`] and [`server_changes`] what they pass
-//!   on to the others.
-//! - [`updates`] is the ring by which the other duties' threads tell news;
-//!   everything is decided on this thread, so nothing here is locked.
+//! - [`port`] accepts callers' connections and [`callers`] limits them. Each
+//!   request goes to [`handler`], which admits it, selects a server, forwards the
+//!   request and sends the response.
+//! - [`servers`] holds the backend servers in [`server_registry`] with their
+//!   connections ([`connect`], [`bounded`], [`idle`]) and whether their processes
+//!   accept new requests ([`availability_table`]). [`response_body`] forwards the
+//!   bytes of a response and checks that it is complete.
+//! - [`crash_detector`] detects whether a server that broke a request's
+//!   connection has crashed; [`suspects`] handles the requests under which
+//!   servers crash.
+//! - [`supply`] obtains the tokens for a request from [`budgets`], or from the
+//!   instances that [`holders`] selects. [`retries`] limits how many requests are
+//!   sent twice.
+//! - [`directory`] holds the instances that callers are directed to; [`members`]
+//!   monitors them ([`probe`]) and exchanges failure suspicions.
+//! - [`traffic_metrics`] counts requests and [`tally`] the work for the fleet, as
+//!   metrics for operators; [`machine`] reads the resource usage of the process.
+//! - [`shares`] divides the machine's memory among these purposes, and
+//!   [`memory_pressure`] decides what to give up when memory runs out.
+//! - [`relays`] selects the instances that read the operators' configuration and
+//!   the servers' entries directly; these publish a [`config_delta`] or
+//!   [`server_changes`] for the others.
+//! - [`updates`] is the channel on which other threads send updates. All
+//!   decisions are made on this thread, so nothing here is locked.
 //!
-//! How requests are spelled is a [`wire_format::WireFormat`]; the life cycle
-//! knows no protocol beyond HTTP.
+//! The format of requests is a [`wire_format::WireFormat`]; the other modules
+//! depend on no protocol beyond HTTP.
 
 pub mod availability_table;
 pub mod bounded;
--- a/crates/hibiscus-traffic/tests/config_delta.rs
+++ b/crates/hibiscus-traffic/tests/config_delta.rs
@@ -1,4 +1,4 @@
-//! What instances pass on of a new version of the configuration.
+//! Configuration deltas and the relays that publish them.
 
 mod fixtures;
 
@@ -21,10 +21,10 @@
 use crate::fixtures::config;
 use crate::fixtures::instance;
 
-/// Bytes a second that an instance has for control.
+/// Bytes per second that an instance may use for control traffic.
 const CONTROL_BYTES: usize = 4_096;
 
-/// The route `number`, which goes to the service `service`.
+/// Returns the route `number` to the service `service`.
 fn route(number: usize, service: u8) -> Arc<RouteRule> {
     Arc::new(RouteRule {
         name: format!("r-{number:07}"),
@@ -43,7 +43,8 @@
     })
 }
 
-/// The configuration `version` with routes of these numbers and services.
+/// Returns the configuration `version` with routes of the given numbers and
+/// services.
 fn with_routes(version: u64, routes: &[(usize, u8)]) -> FleetConfig {
     FleetConfig {
         version,
@@ -55,18 +56,21 @@
     }
 }
 
-/// `count` routes to one service.
+/// Returns `count` routes to one service.
 fn many(count: usize) -> Vec<(usize, u8)> {
     (0..count).map(|number| (number, 0)).collect()
 }
 
-/// What the records of `change` give when they are read in order.
-fn read_back(change: &ConfigDelta) -> Option<ConfigDelta> {
+/// Reassembles `change` from its records.
+fn read_back(delta: &ConfigDelta) -> Option<ConfigDelta> {
     let mut assembler = DeltaAssembler::default();
-    let records = change.to_records().expect("records");
+    let records = delta.to_records().expect("records");
     let mut read = None;
     for record in &records {
-        assert!(read.is_none(), "the change was whole before its last part");
+        assert!(
+            read.is_none(),
+            "the delta was complete before its last part"
+        );
         read = assembler.take(record).expect("a part");
     }
     read
@@ -74,31 +78,31 @@
 
 proptest::proptest! {
     #[test]
-    fn a_change_makes_the_later_configuration_out_of_the_earlier_one(
+    fn a_delta_turns_the_earlier_configuration_into_the_later_one(
         before in vec((0_usize..12, any::<u8>()), 0..12),
         after in vec((0_usize..12, any::<u8>()), 0..12),
     ) {
         let before = with_routes(1, &before);
         let after = with_routes(2, &after);
-        let change = ConfigDelta::between((5, &before), (9, &after));
-        let read = read_back(&change).ok_or(TestCaseError::fail("no change"))?;
+        let delta = ConfigDelta::between((5, &before), (9, &after));
+        let read = read_back(&delta).ok_or(TestCaseError::fail("no delta"))?;
         assert_eq!((read.base, read.next), (5, 9));
         let made = read.apply(&before).map_err(|error| TestCaseError::fail(error.to_string()))?;
         assert_eq!(made, after);
     }
 }
 
-/// Guards against changes that cost the links of the fleet as much as the
-/// whole configuration (issue 20).
+/// Guards against deltas that take as much bandwidth in the fleet as the complete
+/// configuration (issue 20).
 #[test]
-fn a_change_of_one_route_of_many_is_small() {
+fn a_delta_of_one_route_among_many_is_small() {
     let before = many(2_850);
     let mut after = before.clone();
     after[1_400].1 = 1;
     after.remove(70);
     let (before, after) = (with_routes(1, &before), with_routes(2, &after));
-    let change = ConfigDelta::between((1, &before), (2, &after));
-    let bytes: usize = change
+    let delta = ConfigDelta::between((1, &before), (2, &after));
+    let bytes: usize = delta
         .to_records()
         .expect("records")
         .iter()
@@ -108,18 +112,18 @@
 }
 
 #[test]
-fn a_change_that_is_larger_than_a_record_comes_in_parts() {
+fn a_delta_that_is_larger_than_a_record_is_split_into_parts() {
     let (before, after) = (with_routes(1, &[]), with_routes(2, &many(8_000)));
-    let change = ConfigDelta::between((1, &before), (2, &after));
-    let records = change.to_records().expect("records");
+    let delta = ConfigDelta::between((1, &before), (2, &after));
+    let records = delta.to_records().expect("records");
     assert!(records.len() > 1);
     assert!(records.iter().all(|record| record.len() <= 262_144));
-    let read = read_back(&change).expect("the change");
+    let read = read_back(&delta).expect("the delta");
     assert_eq!(read.apply(&before).expect("a configuration"), after);
 }
 
 #[test]
-fn a_change_whose_first_part_was_not_read_is_passed_over() {
+fn a_delta_whose_first_part_was_not_read_is_skipped() {
     let (before, after) = (with_routes(1, &[]), with_routes(2, &many(8_000)));
     let large = ConfigDelta::between((1, &before), (2, &after));
     let small = ConfigDelta::between((2, &after), (3, &with_routes(3, &many(7_999))));
@@ -132,23 +136,23 @@
 }
 
 #[test]
-fn a_change_that_no_call_takes_is_not_published() {
+fn a_delta_that_is_too_large_for_a_call_is_not_published() {
     let (before, after) = (with_routes(1, &[]), with_routes(2, &many(40_000)));
-    let change = ConfigDelta::between((1, &before), (2, &after));
-    let records = change.to_records();
+    let delta = ConfigDelta::between((1, &before), (2, &after));
+    let records = delta.to_records();
     assert!(matches!(records, Err(DeltaError::TooLarge { .. })));
 }
 
 #[test]
-fn a_change_of_another_configuration_is_refused() {
+fn a_delta_of_another_configuration_is_refused() {
     let before = with_routes(1, &many(20));
-    let change = ConfigDelta::between((1, &before), (2, &with_routes(2, &many(20))));
+    let delta = ConfigDelta::between((1, &before), (2, &with_routes(2, &many(20))));
     let other = with_routes(1, &many(3));
-    assert!(matches!(change.apply(&other), Err(DeltaError::OtherConfig)));
+    assert!(matches!(delta.apply(&other), Err(DeltaError::OtherConfig)));
 }
 
 #[test]
-fn a_record_that_is_no_change_is_an_error() {
+fn a_record_that_is_no_delta_is_an_error() {
     let mut assembler = DeltaAssembler::default();
     assert!(assembler.take(&[]).is_err());
     assert!(assembler.take(&[255; 40]).is_err());
--- a/crates/hibiscus-traffic/tests/state.rs
+++ b/crates/hibiscus-traffic/tests/state.rs
@@ -1,4 +1,5 @@
-//! What news cost the thread that serves requests.
+//! Updates of the request path's state: their cost, draws, readiness and the wait
+//! of requests at the start.
 
 mod fixtures;
 
@@ -49,13 +50,13 @@
 
 const TEAMS: usize = 24;
 const PREPAID: u64 = 1_000_000;
-/// Time after which an instance takes what it knows of the fleet for complete.
+/// Time after which an instance considers its view of the fleet complete.
 const SETTLED: Duration = Duration::from_millis(1_600);
 
-/// Spells nothing: these tests send no request.
-struct SilentDialect;
+/// A wire format without header fields: these tests send no request.
+struct EmptyFormat;
 
-impl WireFormat for SilentDialect {
+impl WireFormat for EmptyFormat {
     fn parse_caller_headers(&self, _headers: &HeaderMap) -> Result<CallerHeaders, HeaderFault> {
         Ok(CallerHeaders::default())
     }
@@ -71,7 +72,7 @@
     fn set_response_id(&self, _id: &str, _headers: &mut HeaderMap) {}
 }
 
-/// News of `config`.
+/// Returns the update that activates `config`.
 fn new_config(config: FleetConfig) -> TrafficUpdate {
     TrafficUpdate::Config {
         config: Arc::new(config),
@@ -86,19 +87,19 @@
     }
 }
 
-/// A request path, and the batches that go to the store.
-fn state() -> (TrafficState<SilentDialect>, Receiver<AccountBatch>) {
+/// Returns the state of a request path and its batches for the store.
+fn state() -> (TrafficState<EmptyFormat>, Receiver<AccountBatch>) {
     state_of(instance(0))
 }
 
-/// As [`state`], of the instance `own`.
-fn state_of(own: InstanceEntry) -> (TrafficState<SilentDialect>, Receiver<AccountBatch>) {
+/// Like [`state`], for the instance `own`.
+fn state_of(own: InstanceEntry) -> (TrafficState<EmptyFormat>, Receiver<AccountBatch>) {
     let (outbox, batches) = mpsc::sync_channel(16);
     let (suspects, _records) = mpsc::sync_channel(16);
     let clock = MachineClock::of_this_boot();
     let desk = BudgetManager::new(own.incarnation, own.name.clone(), clock, outbox);
     let state = TrafficState::new(TrafficComponents {
-        wire_format: SilentDialect,
+        wire_format: EmptyFormat,
         data_centre: own.data_centre.clone(),
         budgets: desk,
         retries: RetryCounter::new(RetryBound {
@@ -115,7 +116,7 @@
     (state, batches)
 }
 
-/// Draws among what is on its way to the store.
+/// Returns the draws among the batches for the store.
 fn draws(batches: &Receiver<AccountBatch>) -> Vec<AccountRecord> {
     let records = batches.try_iter().flat_map(|batch| batch.records);
     let draws = records.filter(|record| matches!(record, AccountRecord::Draw { .. }));
@@ -123,9 +124,9 @@
 }
 
 /// Guards against processor time that grows with the records of all instances
-/// times all budgets (issue 17).
+/// multiplied by the number of budgets (issue 17).
 #[test]
-fn records_of_other_instances_cause_no_look_at_each_budget() {
+fn records_of_other_instances_cause_no_review_of_all_budgets() {
     let (state, _batches) = state();
     state.apply(new_config(config(TEAMS, PREPAID)));
     state.apply(TrafficUpdate::AccountsCaughtUp);
@@ -148,8 +149,8 @@
     assert_eq!(state.tally.reviews.get(), before);
 }
 
-/// Guards against a fleet whose instances each draw as if they were alone when
-/// all start together (issue 17).
+/// Guards against instances that each draw as if they were alone when the whole
+/// fleet starts (issue 17).
 #[test]
 fn an_instance_that_does_not_know_the_others_draws_for_waiting_requests_only() {
     let (state, batches) = state();
@@ -169,10 +170,10 @@
     );
 }
 
-// Guards against callers that are sent to a process which the system is about
-// to kill, with every request on it lost (issue 17).
+// Guards against callers that are directed to a process that the system is about
+// to kill, which loses all requests on it (issue 17).
 #[test]
-fn an_instance_whose_memory_is_full_refuses_and_is_named_to_nobody() {
+fn an_instance_whose_memory_is_full_refuses_requests_and_is_not_ready() {
     const LIMIT: usize = 88 << 20;
     let (state, _batches) = state();
     state.apply(new_config(config(TEAMS, PREPAID)));
@@ -199,10 +200,10 @@
     assert!(state.directory.borrow().is_ready());
 }
 
-/// Guards against a holder that is cut off and draws as if it were alone
-/// (issue 17).
+/// Guards against a holder that is cut off from the fleet and draws as if it were
+/// alone (issue 17).
 #[test]
-fn an_instance_that_loses_sight_of_the_fleet_draws_no_more() {
+fn an_instance_that_is_cut_off_from_the_fleet_stops_drawing() {
     let mut others: Vec<InstanceEntry> = (0..62).map(instance).collect();
     let groups = holders::group_count(TEAMS);
     let group = holders::group_of(&budget(0), groups);
@@ -226,10 +227,10 @@
     assert_eq!(draws(&batches), []);
 }
 
-/// Guards against refusals in the first moments of an instance, while what it
-/// needs is on its way from the store (issue 28).
+/// Guards against requests that are refused just after the start, while the
+/// instance still reads configuration and servers from the store (issue 28).
 #[test]
-fn requests_of_the_first_moments_wait_for_configuration_and_servers() {
+fn requests_just_after_the_start_wait_for_configuration_and_servers() {
     let (state, _batches) = state();
     let state = Rc::new(state);
     let runtime = Builder::new_current_thread()
@@ -237,7 +238,7 @@
         .build()
         .expect("a runtime");
     let tasks = LocalSet::new();
-    // Far ahead: the wait ends by the news alone.
+    // Far in the future: only the updates end the wait.
     let end = Instant::now() + Duration::from_secs(3_600);
     tasks.block_on(&runtime, async {
         let waits = Rc::clone(&state);
@@ -254,7 +255,7 @@
 }
 
 #[test]
-fn a_request_waits_no_longer_than_its_deadline_and_at_young_instances_only() {
+fn a_request_waits_only_at_starting_instances_and_up_to_its_deadline() {
     const SHORT: Duration = Duration::from_millis(50);
     const LONG: Duration = Duration::from_secs(5);
     let arrived = Instant::now();
@@ -267,7 +268,7 @@
 }
 
 #[test]
-fn a_wait_for_what_never_comes_ends_in_time() {
+fn a_wait_without_any_update_ends_in_time() {
     let (state, _batches) = state();
     let runtime = Builder::new_current_thread()
         .enable_time()
