--- a/crates/hibiscus-traffic/src/budgets/review.rs
+++ b/crates/hibiscus-traffic/src/budgets/review.rs
@@ -1,4 +1,4 @@
-//! Draws, returns and reports: what goes to the store, and when.
+//! Decides on draws, returns and reports, and sends them to the store.
 
 use std::sync::mpsc::TrySendError;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use crate::budgets::BudgetManager;
 use crate::budgets::BudgetRole;
 
-/// Age from which on the line of a holder that spends nothing is made anew: a
-/// crash loses what the line has come to allow, though nothing was spent.
-const IDLE_INTERVAL: Duration = Duration::from_secs(2);
+/// Age at which a holder that spends nothing renews its limit. A crash loses
+/// what the limit allows by then, even if nothing was spent.
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after which another holder than the first writes a total.
-const TOTAL_WAIT: Duration = Duration::from_millis(500);
-/// Time after which a total that the stream does not show is written again.
-const TOTAL_REPEAT: Duration = Duration::from_secs(1);
+/// Time after which a holder other than the first writes a total.
+const TOTAL_WRITE_DELAY: Duration = Duration::from_millis(500);
+/// Time after which a total that is missing in the stream is written again.
+const TOTAL_REWRITE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl BudgetManager {
-    /// Decides on draws, returns and reports, and hands the records to the
-    /// thread that appends. `role_of` tells what this instance does for a
-    /// budget.
+    /// Decides on draws, returns and reports for all budgets, and sends the
+    /// records to the thread that appends them. `role_of` returns this
+    /// instance's role for a budget.
     pub fn review(&mut self, role_of: impl Fn(&BudgetName) -> BudgetRole, now: Duration) {
         let names: Vec<BudgetName> = self.totals.keys().cloned().collect();
         for budget in names {
@@ -38,15 +38,16 @@
                 continue;
             }
             self.review_one(&budget, role, now);
-            if role.writes_snapshots && self.is_snapshot_due(&budget, now) {
+            if role.is_first_holder && self.is_snapshot_due(&budget, now) {
                 self.write_snapshot(&budget, now);
             }
         }
         self.send(now);
     }
 
-    /// Decides on draws and reports of the budgets that requests wait for:
-    /// news of the stream concerns no other before the next look at all.
+    /// Decides on draws and reports for the budgets that requests wait for. New
+    /// records of the stream are irrelevant to other budgets until the next
+    /// full review.
     pub fn review_waiting(&mut self, role_of: impl Fn(&BudgetName) -> BudgetRole, now: Duration) {
         let names: Vec<BudgetName> = self.waiting.iter().cloned().collect();
         for budget in names {
@@ -55,30 +56,31 @@
         self.send(now);
     }
 
-    /// A planned stop has begun.
+    /// Begins a graceful shutdown.
     pub fn begin_shutdown(&mut self) {
-        self.stopping = true;
+        self.shutting_down = true;
     }
 
-    /// Whether the store has all that was sent.
+    /// Whether the store has acknowledged all records and snapshots.
     pub fn is_acknowledged(&self) -> bool {
         let is_empty = self.unsent.is_empty() && self.unsent_snapshots.is_empty();
         is_empty && self.acknowledged + 1 >= self.batch
     }
 
-    /// Whether the own accounts were closed: no token is to be had any more.
+    /// Whether this instance's own accounts are closed, so that it can reserve
+    /// no more tokens.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Whether all that the store has of this holder was read back.
+    /// Whether all records that the store has from this holder were read back.
     pub fn has_read_own_records(&self) -> bool {
         self.fold.next_offset() >= self.appended
     }
 
-    /// Gives back all that no request has reserved, at the end of a planned
-    /// stop, and closes the accounts if no request is left: an account that
-    /// nobody closes stays in the store's snapshots for ever.
+    /// Returns all unreserved tokens at the end of a graceful shutdown, and
+    /// closes the accounts if no request is left. An account that nobody closes
+    /// stays in the store's snapshots forever.
     pub fn return_all_tokens(&mut self, now: Duration) {
         let mut held = self.held.values();
         self.closed = held.all(|held| held.quota.reserved().is_zero() && held.wanted.is_zero());
@@ -86,7 +88,7 @@
         for budget in names {
             if let Some(held) = self.held.get_mut(&budget) {
                 let available = held.quota.available();
-                held.quota.give_back(available);
+                held.quota.return_tokens(available);
             }
             self.report(&budget, &DrawDecision::default(), now);
             if self.closed {
@@ -96,8 +98,9 @@
         self.send(now);
     }
 
-    /// Queues the end of the own account; from now on nothing of it is spent,
-    /// also if a draw is granted late.
+    /// Queues a record that closes this instance's own account of `budget`.
+    /// Nothing of the account is spent afterwards, even if a draw is granted
+    /// late.
     fn close_own(&mut self, budget: &BudgetName) {
         let Some(held) = self.held.get(budget) else {
             return;
@@ -109,20 +112,22 @@
         });
     }
 
-    /// Queues the total of the configuration if the stream shows another. The
-    /// first holder does so at once, the others if it did not.
-    fn write_total(&mut self, budget: &BudgetName, writes_snapshots: bool, now: Duration) {
-        let waits = self.waiting.contains(budget);
+    /// Queues the total from the configuration if the stream has another one.
+    /// The first holder writes it at once, the others only if it is still
+    /// missing later.
+    fn write_total(&mut self, budget: &BudgetName, is_first_holder: bool, now: Duration) {
+        let is_waited_for = self.waiting.contains(budget);
         let Some(total) = self.totals.get_mut(budget) else {
             return;
         };
-        let known = self.fold.budget(budget);
-        let is_new = known
-            .is_none_or(|known| known.version < total.version && known.prepaid != total.tokens);
+        let account = self.fold.budget(budget);
+        let is_new =
+            account.is_none_or(|read| read.version < total.version && read.prepaid != total.tokens);
         let seen = *total.seen.get_or_insert(now);
-        let is_due = writes_snapshots || waits || now.saturating_sub(seen) >= TOTAL_WAIT;
+        let is_due =
+            is_first_holder || is_waited_for || now.saturating_sub(seen) >= TOTAL_WRITE_DELAY;
         let written = total.written.map(|at| now.saturating_sub(at));
-        if !is_new || !is_due || written.is_some_and(|written| written < TOTAL_REPEAT) {
+        if !is_new || !is_due || written.is_some_and(|written| written < TOTAL_REWRITE_INTERVAL) {
             return;
         }
         total.written = Some(now);
@@ -139,13 +144,13 @@
         }
         self.tally.reviews.add();
         if role.mode != DrawMode::Release {
-            self.write_total(budget, role.writes_snapshots, now);
+            self.write_total(budget, role.is_first_holder, now);
         }
         let held = self.held.entry(budget.clone()).or_default();
         let account = self.fold.budget(budget);
         let total = self.totals.get(budget).map(|total| total.tokens);
         let prepaid = account.map(|account| account.prepaid).or(total);
-        let view = DrawInputs {
+        let inputs = DrawInputs {
             demand_per_second: held.demand.rate(now),
             wanted: held.wanted,
             available: held.quota.available(),
@@ -154,19 +159,19 @@
                 .or(total)
                 .unwrap_or_default(),
             prepaid: prepaid.unwrap_or_default(),
-            held: account.map(BudgetAccount::held).unwrap_or_default(),
+            unreported: account.map(BudgetAccount::unreported).unwrap_or_default(),
             others_per_second: account
                 .map_or(0.0, |account| account.demand_of_others(self.holder) as f64),
             holders: role.holders,
             store_delay: self.store_delay,
-            stopping: self.stopping,
+            shutting_down: self.shutting_down,
             mode: role.mode,
         };
-        let decision = policy::decide(&view);
+        let decision = policy::decide(&inputs);
         if !held.pending && !decision.draw.is_zero() {
             held.draw_serial += 1;
             held.pending = true;
-            held.asked = decision.draw;
+            held.requested = decision.draw;
             self.unsent.push(AccountRecord::Draw {
                 budget: budget.clone(),
                 holder: self.holder,
@@ -178,22 +183,22 @@
         if held.quota.has_unacknowledged() {
             return;
         }
-        let returns = !decision.give_back.is_zero();
+        let returns = !decision.tokens_to_return.is_zero();
         if returns {
-            held.quota.give_back(decision.give_back);
+            held.quota.return_tokens(decision.tokens_to_return);
         }
         let sums = (held.quota.used(), held.quota.returned());
-        let due = sums != held.reported
-            && now.saturating_sub(held.report_made) >= decision.report_interval;
+        let due = sums != held.reported_sums
+            && now.saturating_sub(held.reported_at) >= decision.report_interval;
         let first = held.report_serial == 0 && held.draw_serial > 0;
-        let age = now.saturating_sub(held.report_made);
-        let idle = age >= IDLE_INTERVAL && !held.quota.available().is_zero();
+        let age = now.saturating_sub(held.reported_at);
+        let idle = age >= IDLE_REPORT_INTERVAL && !held.quota.available().is_zero();
         if first || idle || returns || due || !held.wanted.is_zero() {
             self.report(budget, &decision, now);
         }
     }
 
-    /// Queues a report with the line that `decision` allows.
+    /// Queues a report with the spending limit from `decision`.
     pub(super) fn report(&mut self, budget: &BudgetName, decision: &DrawDecision, now: Duration) {
         let Some(held) = self.held.get_mut(budget) else {
             return;
@@ -205,10 +210,10 @@
             created_at: self.clock.now(),
             grows_after: u64::try_from(decision.grows_after.as_millis()).unwrap_or(u64::MAX),
         };
-        held.quota.send_pace(self.batch, limit);
+        held.quota.record_sent_limit(self.batch, limit);
         held.report_serial += 1;
-        held.report_made = now;
-        held.reported = (held.quota.used(), held.quota.returned());
+        held.reported_at = now;
+        held.reported_sums = (held.quota.used(), held.quota.returned());
         self.unsent.push(AccountRecord::Report(HolderReport {
             budget: budget.clone(),
             holder: self.holder,
@@ -216,7 +221,7 @@
             spent: held.quota.spent(),
             returned: held.quota.returned(),
             limit,
-            created_after: self.passed.at(limit.created_at),
+            created_after: self.time_lower_bound.at(limit.created_at),
             demand: held.demand.rate(now) as u64,
             transferred: held.transferred(now),
         }));
@@ -235,7 +240,7 @@
             Ok(()) => {
                 self.sent.push_back((self.batch, now));
                 self.batch += 1;
-                self.unacknowledged.get_or_insert(now);
+                self.unacknowledged_since.get_or_insert(now);
             }
             Err(TrySendError::Full(batch) | TrySendError::Disconnected(batch)) => {
                 self.unsent = batch.records;
--- a/crates/hibiscus-traffic/src/budgets/tokens.rs
+++ b/crates/hibiscus-traffic/src/budgets/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens that requests reserve, and those that instances give each other.
+//! Reserves tokens for requests, and transfers tokens between instances.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,34 +17,37 @@
 use crate::budgets::HeldBudget;
 use crate::budgets::TokenRefusal;
 
-/// Age of an unacknowledged batch from which on the store counts as away, so
-/// that nothing waits for it: it usually acknowledges within 10 ms.
-const STORE_PATIENCE: Duration = Duration::from_millis(600);
-/// Time since the stream was read to its end after which what is known of a
-/// budget is too old to say that it is spent: a read waits for 1.5 s.
-const PROOF_AGE: Duration = Duration::from_secs(2);
+/// Age of an unacknowledged batch at which the store is considered unreachable
+/// and requests stop waiting for it. The store usually acknowledges within 10
+/// ms.
+const STORE_ACK_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time since the stream was last read to its end after which its state is too
+/// old to refuse a request as `Spent`; a read waits for 1.5 s.
+const STREAM_AGE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Budgets whose levels are logged at a time.
-const SHOWN: usize = 64;
-/// Time for which tokens that were passed on may come back: a request's
-/// longest time of 15 s, the rest before a return, and its way.
-const RETURN_TIME: Duration = Duration::from_secs(20);
+/// Largest number of budgets whose levels are logged at once.
+const LOGGED_BUDGETS_LIMIT: usize = 64;
+/// Time in which transferred tokens may come back: the longest time of a
+/// request, 15 s, plus the delay before unused tokens are returned and the time
+/// of the transfer.
+const TRANSFER_RETURN_TIME: Duration = Duration::from_secs(20);
 
 impl HeldBudget {
-    /// Tokens that were passed on and may come back in part.
+    /// Transferred tokens that may still come back in part.
     pub(super) fn transferred(&self, now: Duration) -> TokenCount {
-        let passed = self.transferred.iter();
-        let recent = passed.filter(|(passed, _tokens)| now.saturating_sub(*passed) <= RETURN_TIME);
-        recent.map(|(_passed, tokens)| *tokens).sum()
+        let transfers = self.transferred.iter();
+        let recent =
+            transfers.filter(|(at, _tokens)| now.saturating_sub(*at) <= TRANSFER_RETURN_TIME);
+        recent.map(|(_at, tokens)| *tokens).sum()
     }
 }
 
 impl BudgetManager {
-    /// Sets `tokens` of `budget` aside.
+    /// Reserves `tokens` of `budget`.
     ///
     /// # Errors
     ///
-    /// Fails when they were not drawn, or when no line allows them.
+    /// Fails if the tokens were not drawn, or if no spending limit allows them.
     pub fn reserve(
         &mut self,
         budget: &BudgetName,
@@ -55,48 +58,51 @@
             return Err(ReservationError::NotDrawn);
         }
         let held = self.held.entry(budget.clone()).or_default();
-        let hold = held.quota.reserve(tokens, self.clock.now())?;
-        if hold.source == TokenSource::Transferred {
-            held.given_used = now;
+        let reservation = held.quota.reserve(tokens, self.clock.now())?;
+        if reservation.source == TokenSource::Received {
+            held.received_used_at = now;
         }
-        Ok(hold)
+        Ok(reservation)
     }
 
-    /// Counts a request that needs `tokens`.
+    /// Counts the demand of a request that needs `tokens`.
     pub fn count_demand(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let held = self.held.entry(budget.clone()).or_default();
         held.demand.reserve(tokens, now);
     }
 
-    /// Ends a reservation of which `charge` was used.
+    /// Ends a reservation of which `charge` tokens were used.
     pub fn settle(
         &mut self,
         budget: &BudgetName,
-        hold: QuotaReservation,
+        reservation: QuotaReservation,
         charge: TokenCount,
         now: Duration,
     ) {
         let held = self.held.entry(budget.clone()).or_default();
-        if hold.source == TokenSource::Transferred {
-            held.given_used = now;
+        if reservation.source == TokenSource::Received {
+            held.received_used_at = now;
         }
-        held.quota.settle(hold, charge);
-        held.demand.settle(hold.tokens, charge);
+        held.quota.settle(reservation, charge);
+        held.demand.settle(reservation.tokens, charge);
         held.changed.notify_waiters();
     }
 
-    /// Why `tokens` of `budget` cannot be had at `now`, or `None` while a
-    /// draw or a report on its way may still bring them.
+    /// Why `tokens` of `budget` cannot be reserved at `now`, or `None` while a
+    /// pending draw or report may still make them available.
     pub fn refusal(
         &self,
         budget: &BudgetName,
         tokens: TokenCount,
         now: Duration,
     ) -> Option<TokenRefusal> {
-        let waiting = self.unacknowledged.map(|since| now.saturating_sub(since));
+        let waiting = self
+            .unacknowledged_since
+            .map(|since| now.saturating_sub(since));
         let held = self.held.get(budget);
-        if waiting.is_some_and(|waiting| waiting > STORE_PATIENCE) {
-            let wait = held.and_then(|held| held.quota.waits_for(tokens, self.clock.now()));
+        if waiting.is_some_and(|waiting| waiting > STORE_ACK_TIMEOUT) {
+            let wait =
+                held.and_then(|held| held.quota.millis_until_available(tokens, self.clock.now()));
             let wait = wait.map(|millis| u32::try_from(millis).unwrap_or(u32::MAX));
             return Some(wait.map_or(TokenRefusal::Unconfirmed, TokenRefusal::Later));
         }
@@ -104,18 +110,19 @@
             return None;
         }
         let account = self.fold.budget(budget)?;
-        let here = held.map_or(TokenCount::ZERO, |held| {
-            held.quota.available() + held.quota.given()
+        let available_here = held.map_or(TokenCount::ZERO, |held| {
+            held.quota.available() + held.quota.received()
         });
-        let returning = held.map_or(TokenCount::ZERO, |held| self.returning(account, held));
-        let reachable = here + account.free() + returning;
+        let unread_returns =
+            held.map_or(TokenCount::ZERO, |held| self.unread_returns(account, held));
+        let reachable = available_here + account.free() + unread_returns;
         if tokens <= reachable {
             return None;
         }
         let elsewhere = self.unreported_elsewhere(account);
         let reserved = held.map_or(TokenCount::ZERO, |held| held.quota.reserved());
         let transferred = held.map_or(TokenCount::ZERO, |held| held.transferred(now));
-        let is_fresh = now.saturating_sub(self.heard) <= PROOF_AGE;
+        let is_fresh = now.saturating_sub(self.stream_read_at) <= STREAM_AGE_LIMIT;
         if is_fresh && tokens > reachable + elsewhere + reserved + transferred {
             Some(TokenRefusal::Spent)
         } else {
@@ -123,23 +130,23 @@
         }
     }
 
-    /// Tokens that were given back and that the stream, as far as it was read,
-    /// does not show as free yet.
-    fn returning(&self, account: &BudgetAccount, held: &HeldBudget) -> TokenCount {
-        let known = account.holders.get(&self.holder);
-        let known = known.map_or(TokenCount::ZERO, |known| known.returned);
-        held.quota.returned().saturating_sub(known)
+    /// Returned tokens that do not count as free yet in the part of the stream
+    /// that was read.
+    fn unread_returns(&self, account: &BudgetAccount, held: &HeldBudget) -> TokenCount {
+        let own = account.holders.get(&self.holder);
+        let read = own.map_or(TokenCount::ZERO, |own| own.returned);
+        held.quota.returned().saturating_sub(read)
     }
 
-    /// Takes tokens over that another instance gave.
-    pub fn add_given(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
+    /// Adds tokens that another instance transferred to this one.
+    pub fn add_received(&mut self, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let held = self.held.entry(budget.clone()).or_default();
-        held.quota.add_given(tokens);
-        held.given_used = now;
+        held.quota.add_received(tokens);
+        held.received_used_at = now;
         held.changed.notify_waiters();
     }
 
-    /// Takes tokens back that an instance has no use for.
+    /// Takes back transferred tokens that another instance did not use.
     pub fn refund(&mut self, budget: &BudgetName, tokens: TokenCount) {
         let held = self.held.entry(budget.clone()).or_default();
         held.quota.refund(tokens);
@@ -148,48 +155,51 @@
     }
 
     /// Ends a reservation whose tokens go to an instance that does not hold the
-    /// budget: they count as spent here.
-    pub fn transfer(&mut self, budget: &BudgetName, hold: QuotaReservation, now: Duration) {
-        self.settle(budget, hold, hold.tokens, now);
+    /// budget; they count as spent here.
+    pub fn transfer(&mut self, budget: &BudgetName, reservation: QuotaReservation, now: Duration) {
+        self.settle(budget, reservation, reservation.tokens, now);
         let held = self.held.entry(budget.clone()).or_default();
-        held.transferred.push_back((now, hold.tokens));
-        while let Some((passed, _tokens)) = held.transferred.front() {
-            if now.saturating_sub(*passed) <= RETURN_TIME {
+        held.transferred.push_back((now, reservation.tokens));
+        while let Some((at, _tokens)) = held.transferred.front() {
+            if now.saturating_sub(*at) <= TRANSFER_RETURN_TIME {
                 break;
             }
             held.transferred.pop_front();
         }
     }
 
-    /// Tokens of `budget` that other instances gave and no request has reserved.
-    pub fn given(&self, budget: &BudgetName) -> TokenCount {
+    /// Unreserved tokens of `budget` received from other instances.
+    pub fn received(&self, budget: &BudgetName) -> TokenCount {
         let held = self.held.get(budget);
-        held.map_or(TokenCount::ZERO, |held| held.quota.given())
+        held.map_or(TokenCount::ZERO, |held| held.quota.received())
     }
 
-    /// Takes out what other instances gave and no request has used for `rest`.
-    pub fn take_idle_given(
+    /// Removes received tokens that no request has used for `idle_time`.
+    pub fn take_idle_received(
         &mut self,
-        rest: Duration,
+        idle_time: Duration,
         now: Duration,
     ) -> Vec<(BudgetName, TokenCount)> {
         let mut idle = Vec::new();
         for (budget, held) in &mut self.held {
-            let rested = now.saturating_sub(held.given_used) >= rest;
-            if !rested || held.quota.given().is_zero() || !held.wanted.is_zero() {
+            let is_idle = now.saturating_sub(held.received_used_at) >= idle_time;
+            if !is_idle || held.quota.received().is_zero() || !held.wanted.is_zero() {
                 continue;
             }
-            idle.push((budget.clone(), held.quota.take_given()));
+            idle.push((budget.clone(), held.quota.take_received()));
         }
         idle
     }
 
-    /// Logs why `tokens` of `budget` could not be had for the request `id`.
+    /// Logs why `tokens` of `budget` could not be reserved for the request
+    /// `id`.
     pub fn log_shortage(&self, id: &str, budget: &BudgetName, tokens: TokenCount, now: Duration) {
         let account = self.fold.budget(budget);
         let free = account.map(BudgetAccount::free).unwrap_or_default();
         let prepaid = account.map(|account| account.prepaid).unwrap_or_default();
-        let waiting = self.unacknowledged.map(|since| now.saturating_sub(since));
+        let waiting = self
+            .unacknowledged_since
+            .map(|since| now.saturating_sub(since));
         let Some(held) = self.held.get(budget) else {
             return;
         };
@@ -204,13 +214,13 @@
         );
     }
 
-    /// Logs the levels of the budgets that `keeps` names, as far as the stream
-    /// was read.
-    pub fn log_budgets(&self, keeps: impl Fn(&BudgetName) -> bool) {
+    /// Logs the levels of the budgets that `selects` selects, as of the last
+    /// record read.
+    pub fn log_budgets(&self, selects: impl Fn(&BudgetName) -> bool) {
         let budgets = self.fold.budgets().iter();
         for (budget, account) in budgets
-            .filter(|(budget, _account)| keeps(budget))
-            .take(SHOWN)
+            .filter(|(budget, _account)| selects(budget))
+            .take(LOGGED_BUDGETS_LIMIT)
         {
             let reported: TokenCount = account.holders.values().map(|held| held.spent).sum();
             event!(
@@ -219,7 +229,7 @@
                 account.version,
                 account.prepaid,
                 account.free(),
-                account.held(),
+                account.unreported(),
                 reported,
                 account.closed,
                 account.holders.len()
@@ -227,8 +237,8 @@
         }
     }
 
-    /// Tokens over all budgets: free to spend here, reserved by requests, and
-    /// spent since the start.
+    /// Tokens over all budgets: available, reserved, and spent since the start
+    /// of the process.
     pub fn token_sums(&self) -> (u64, u64, u64) {
         let mut sums = (0, 0, 0);
         for held in self.held.values() {
@@ -239,14 +249,14 @@
         sums
     }
 
-    /// Tokens that may still be granted, over all budgets.
+    /// Tokens over all budgets that may still be granted.
     pub fn free_tokens(&self) -> u64 {
         let budgets = self.fold.budgets().values();
         budgets.map(|account| account.free().get()).sum()
     }
 
-    /// Says that a request waits for `tokens`; the returned signal tells of
-    /// changes.
+    /// Registers a request that waits for `tokens`. The returned signal reports
+    /// changes of the budget.
     pub fn add_waiter(&mut self, budget: &BudgetName, tokens: TokenCount) -> Rc<Notify> {
         let held = self.held.entry(budget.clone()).or_default();
         held.wanted = held.wanted + tokens;
@@ -254,7 +264,7 @@
         Rc::clone(&held.changed)
     }
 
-    /// Ends [`Self::add_waiter`].
+    /// Undoes [`Self::add_waiter`].
     pub fn remove_waiter(&mut self, budget: &BudgetName, tokens: TokenCount) {
         let held = self.held.entry(budget.clone()).or_default();
         held.wanted = held.wanted.saturating_sub(tokens);
@@ -263,7 +273,8 @@
         }
     }
 
-    /// Tokens that other holders have not reported as spent, or passed on.
+    /// Tokens of other holders that they have not reported as spent, or have
+    /// transferred and may get back.
     pub(super) fn unreported_elsewhere(&self, account: &BudgetAccount) -> TokenCount {
         let others = account.holders.iter();
         let others = others.filter(|(holder, _held)| **holder != self.holder);
