--- a/crates/hibiscus-membership/src/lib.rs
+++ b/crates/hibiscus-membership/src/lib.rs
@@ -9,15 +9,15 @@
 //!   exchanges heartbeats with its [`neighbours`], in [`gossip`] messages.
 //! - [`ranking`] orders instances by rendezvous hashing for a shard or a caller,
 //!   and [`address`] ranks the addresses that callers receive.
-//! - [`detector`] detects instances that stopped responding in fleets where each
+//! - [`silence`] detects instances that stopped responding in fleets where each
 //!   instance monitors only a few others, which it selects with [`rings`] and
 //!   whose [`suspicion`]s spread by gossip.
 
 pub mod address;
-pub mod detector;
 pub mod gossip;
 pub mod neighbours;
 pub mod ranking;
 pub mod rings;
+pub mod silence;
 pub mod suspicion;
 pub mod view;
--- a/crates/hibiscus-traffic/src/directory.rs
+++ b/crates/hibiscus-traffic/src/directory.rs
@@ -12,7 +12,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_membership::detector::FailureDetector;
+use hibiscus_membership::silence::FailureDetector;
 use hibiscus_membership::suspicion::SuspicionMessage;
 use hibiscus_peer::CertificatePin;
 use hibiscus_types::DataCentre;
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -152,7 +152,7 @@
         budget: budget.clone(),
         tokens,
     };
-    match peers::ask(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await {
+    match peers::send_request(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await {
         Some(PeerResponse::Refused(_refusal)) => state.budgets.add_received(&budget, tokens),
         Some(_returned) => {}
         None => event!(
@@ -280,7 +280,9 @@
             tokens,
         };
         let response = match link {
-            Some(link) => peers::ask(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await,
+            Some(link) => {
+                peers::send_request(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await
+            }
             None => None,
         };
         let now = state.now();
