--- a/crates/hibiscus-front/src/append.rs
+++ b/crates/hibiscus-front/src/append.rs
@@ -20,14 +20,14 @@
 use platform::store::StoreClient;
 
 /// Batches that wait for the thread.
-pub(crate) const RING_CAPACITY: usize = 64;
+pub(crate) const QUEUE_CAPACITY: usize = 64;
 /// Time for which records are gathered into one append, so that a burst of
 /// draws costs one call.
-const GATHER_TIME: Duration = Duration::from_millis(5);
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 /// First pause after a failed append.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest pause after failed appends.
-const LAST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Appends what comes over `batches` until its sender is dropped. Each append
 /// is repeated until the store acknowledges it: copies change nothing.
@@ -41,7 +41,7 @@
     batches: &Receiver<AccountBatch>,
 ) {
     while let Ok(mut batch) = batches.recv() {
-        thread::sleep(GATHER_TIME);
+        thread::sleep(BATCH_DELAY);
         while let Ok(more) = batches.try_recv() {
             batch.number = more.number;
             batch.records.extend(more.records);
@@ -86,14 +86,14 @@
 /// Appends the records of one call, however often it takes; returns the offset
 /// after them.
 fn append_call(store: &StoreClient, records: &[Vec<u8>]) -> u64 {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = MIN_RETRY_DELAY;
     loop {
         match store.append(account::STREAM, records) {
             Ok(receipt) => return receipt.end_offset,
             Err(error) => event!(EventCode::AppendFailed, "cause={error}"),
         }
         thread::sleep(pause);
-        pause = (pause * 2).min(LAST_PAUSE);
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
 
--- a/crates/hibiscus-front/src/cli.rs
+++ b/crates/hibiscus-front/src/cli.rs
@@ -13,9 +13,9 @@
 use crate::serve;
 
 /// Exit code when the settings cannot be used.
-const EXIT_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 /// Exit code when a port cannot be opened.
-const EXIT_START: u8 = 3;
+const EXIT_START_FAILED: u8 = 3;
 
 /// What the command line asks for.
 #[derive(Clone, Debug)]
@@ -69,7 +69,7 @@
         Ok(settings) => settings,
         Err(error) => {
             report(&error);
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if command.check {
@@ -79,7 +79,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             report(&error);
-            ExitCode::from(EXIT_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
--- a/crates/hibiscus-front/src/config.rs
+++ b/crates/hibiscus-front/src/config.rs
@@ -3,37 +3,37 @@
 //! A few instances ([`hibiscus_traffic::relays`]) wait for records of the
 //! operators' topic and read each version whole. They publish what differs from
 //! the version before in a topic of the fleet, which all instances follow
-//! ([`changes`]). An instance that finds the operators' topic ahead of what it
+//! ([`deltas`]). An instance that finds the operators' topic ahead of what it
 //! holds, and gets no change in time, reads the newest version itself
 //! ([`operators`]), so nobody depends on another. Both threads put what they
-//! have on the [`board`], which only goes forward.
+//! have on the [`shared`], which only goes forward.
 
-mod board;
-mod changes;
+mod deltas;
 mod operators;
+mod shared;
 
 use std::sync::Arc;
 
 use hibiscus_traffic::updates::UpdateSender;
 use platform::store::StoreClient;
 
-pub(crate) use crate::config::board::ConfigBoard;
-use crate::relay::RelayDuty;
+pub(crate) use crate::config::shared::SharedConfig;
+use crate::relay::RelayRole;
 
 /// Topic of the changes.
-const CHANGES_TOPIC: &str = "config-changes";
+const DELTAS_TOPIC: &str = "config-changes";
 
 /// Follows the operators' topic.
-pub(crate) fn follow_operators(store: &StoreClient, board: &Arc<ConfigBoard>) {
-    operators::OperatorsReader::new(store, board).run();
+pub(crate) fn follow_operators(store: &StoreClient, shared: &Arc<SharedConfig>) {
+    operators::OperatorsReader::new(store, shared).run();
 }
 
 /// Follows the changes that other instances publish.
-pub(crate) fn follow_changes(store: &StoreClient, board: &Arc<ConfigBoard>) {
-    changes::follow(store, board);
+pub(crate) fn follow_deltas(store: &StoreClient, shared: &Arc<SharedConfig>) {
+    deltas::follow(store, shared);
 }
 
 /// A board that tells `updates` what comes into force.
-pub(crate) fn board(updates: UpdateSender, duty: Arc<RelayDuty>) -> Arc<ConfigBoard> {
-    Arc::new(ConfigBoard::new(updates, duty))
+pub(crate) fn shared(updates: UpdateSender, role: Arc<RelayRole>) -> Arc<SharedConfig> {
+    Arc::new(SharedConfig::new(updates, role))
 }
--- a/crates/hibiscus-front/src/config/changes.rs
+++ b/crates/hibiscus-front/src/config/deltas.rs
@@ -14,10 +14,10 @@
 use platform::store::StoreError;
 use platform::store::StoreRead;
 
-use crate::config::CHANGES_TOPIC;
-use crate::config::ConfigBoard;
-use crate::reach::FAILURE_PAUSE;
-use crate::reach::ReachLog;
+use crate::config::DELTAS_TOPIC;
+use crate::config::SharedConfig;
+use crate::topic_monitor::RETRY_DELAY;
+use crate::topic_monitor::TopicMonitor;
 
 /// Attempts to publish one change; another instance does it otherwise, or all
 /// read the version themselves.
@@ -25,37 +25,37 @@
 /// Time in which a record that another instance appended is read.
 const READ_TIME: Duration = Duration::from_millis(200);
 
-/// Applies the changes that come from now on to what `board` holds. Those of
+/// Applies the changes that come from now on to what `shared` holds. Those of
 /// before are in the version that this process began with, or it reads another
 /// one.
-pub(super) fn follow(store: &StoreClient, board: &ConfigBoard) {
-    let mut reach = ReachLog::default();
+pub(super) fn follow(store: &StoreClient, shared: &SharedConfig) {
+    let mut monitor = TopicMonitor::default();
     let mut assembler = ChangeAssembler::default();
     let mut next: Option<u64> = None;
     loop {
         let step = match next {
-            None => store.end(CHANGES_TOPIC),
+            None => store.end(DELTAS_TOPIC),
             Some(from) => store
-                .read(CHANGES_TOPIC, from, reach.wait())
-                .map(|read| apply(&read, from, &mut assembler, board)),
+                .read(DELTAS_TOPIC, from, monitor.wait())
+                .map(|read| apply(&read, from, &mut assembler, shared)),
         };
         match step {
             Ok(offset) => {
-                reach.succeeded(CHANGES_TOPIC);
+                monitor.succeeded(DELTAS_TOPIC);
                 next = Some(offset);
-                board.set_changes_end(next);
+                shared.set_deltas_end(next);
             }
             Err(StoreError::Expired { first }) => {
                 event!(
                     EventCode::HistoryDropped,
-                    "topic={CHANGES_TOPIC} first={first}"
+                    "topic={DELTAS_TOPIC} first={first}"
                 );
                 assembler = ChangeAssembler::default();
                 next = None;
             }
             Err(error) => {
-                reach.failed(CHANGES_TOPIC, &error);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(DELTAS_TOPIC, &error);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
@@ -63,7 +63,12 @@
 
 /// Applies the changes of a page that begins at `from`; returns the offset
 /// after it.
-fn apply(read: &StoreRead, from: u64, assembler: &mut ChangeAssembler, board: &ConfigBoard) -> u64 {
+fn apply(
+    read: &StoreRead,
+    from: u64,
+    assembler: &mut ChangeAssembler,
+    shared: &SharedConfig,
+) -> u64 {
     let mut next = from;
     for record in &read.page.records {
         next += 1;
@@ -78,7 +83,7 @@
                     decode: Duration::ZERO,
                     told: Instant::now(),
                 };
-                board.apply(change, arrival);
+                shared.apply(change, arrival);
             }
             Err(error) => event!(EventCode::ChangeUnreadable, "cause={error}"),
         }
@@ -87,7 +92,7 @@
 }
 
 /// Publishes `change`, unless another instance does so first.
-pub(super) fn publish(store: &StoreClient, board: &ConfigBoard, change: &ConfigChange) {
+pub(super) fn publish(store: &StoreClient, shared: &SharedConfig, change: &ConfigChange) {
     let records = match change.to_records() {
         Ok(records) => records,
         Err(error) => {
@@ -101,10 +106,10 @@
     };
     let mut failure = None;
     for _attempt in 0..ATTEMPTS {
-        let Some(end) = board.changes_end() else {
+        let Some(end) = shared.deltas_end() else {
             break;
         };
-        match store.append_at(CHANGES_TOPIC, &records, end) {
+        match store.append_at(DELTAS_TOPIC, &records, end) {
             Ok(_receipt) => {
                 event!(
                     EventCode::ChangePublished,
@@ -116,10 +121,10 @@
                 );
                 return;
             }
-            Err(StoreError::Moved { .. }) => board.wait_changes(end, READ_TIME),
+            Err(StoreError::EndMismatch { .. }) => shared.wait_for_deltas_after(end, READ_TIME),
             Err(error) => failure = Some(error),
         }
-        if board.wait_published(change.next, READ_TIME) {
+        if shared.wait_for_delta(change.next, READ_TIME) {
             return;
         }
     }
--- a/crates/hibiscus-front/src/config/operators.rs
+++ b/crates/hibiscus-front/src/config/operators.rs
@@ -19,71 +19,71 @@
 use platform::store::StoreError;
 use platform::store::StoreRead;
 
-use crate::config::ConfigBoard;
-use crate::config::board::HeldConfig;
-use crate::config::changes;
-use crate::reach::FAILURE_PAUSE;
-use crate::reach::ReachLog;
+use crate::config::SharedConfig;
+use crate::config::deltas;
+use crate::config::shared::CurrentConfig;
+use crate::topic_monitor::RETRY_DELAY;
+use crate::topic_monitor::TopicMonitor;
 
 /// Pause between two looks at the end of the topic: with the time for a change
 /// and for the transfer of a version, one is in force within 3 s.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time that the first relay waits for a change of another instance before it
 /// reads a version itself, after it has lost touch.
-const CHANGE_WAIT: Duration = Duration::from_millis(200);
+const DELTA_WAIT: Duration = Duration::from_millis(200);
 /// Time by which each further relay, and then all other instances, wait longer.
 const RELAY_STAGGER: Duration = Duration::from_millis(200);
 
 /// Reads the operators' topic for one instance.
 pub(super) struct OperatorsReader<'a> {
     store: &'a StoreClient,
-    board: &'a ConfigBoard,
-    reach: ReachLog,
+    shared: &'a SharedConfig,
+    monitor: TopicMonitor,
     /// Whether the last call showed that nothing newer is to be had.
-    current: bool,
+    up_to_date: bool,
 }
 
 impl<'a> OperatorsReader<'a> {
-    pub(super) fn new(store: &'a StoreClient, board: &'a Arc<ConfigBoard>) -> Self {
+    pub(super) fn new(store: &'a StoreClient, shared: &'a Arc<SharedConfig>) -> Self {
         Self {
             store,
-            board,
-            reach: ReachLog::default(),
-            current: false,
+            shared,
+            monitor: TopicMonitor::default(),
+            up_to_date: false,
         }
     }
 
     /// Reads for as long as the process runs.
     pub(super) fn run(&mut self) {
         loop {
-            let position = self.board.position();
-            let waits = self.current && self.board.is_relay();
+            let position = self.shared.position();
+            let waits = self.up_to_date && self.shared.is_relay();
             let step = match position.filter(|_position| waits) {
                 Some(position) => self.wait_for_record(position),
-                None => self.look(position),
+                None => self.check_end(position),
             };
             match step {
-                Ok(()) => self.reach.succeeded(config::TOPIC),
+                Ok(()) => self.monitor.succeeded(config::TOPIC),
                 Err(error) => {
-                    self.reach.failed(config::TOPIC, &error);
-                    self.current = false;
-                    thread::sleep(FAILURE_PAUSE);
+                    self.monitor.failed(config::TOPIC, &error);
+                    self.up_to_date = false;
+                    thread::sleep(RETRY_DELAY);
                     continue;
                 }
             }
-            if self.current && !self.board.is_relay() {
-                thread::sleep(LOOK_PAUSE);
+            if self.up_to_date && !self.shared.is_relay() {
+                thread::sleep(POLL_INTERVAL);
             }
         }
     }
 
     /// Waits for records from `position` on.
     fn wait_for_record(&mut self, position: u64) -> Result<()> {
-        let wait = self.reach.wait();
+        let wait = self.monitor.wait();
         match self.store.read(config::TOPIC, position, wait) {
             Ok(read) => {
-                self.take(&read, position);
-                self.board.note_unreadable(position + count(&read));
+                self.take_newest(&read, position);
+                self.shared.skip_unreadable(position + record_count(&read));
                 Ok(())
             }
             Err(StoreError::Expired { first }) => {
@@ -92,7 +92,7 @@
                     "topic={} first={first}",
                     config::TOPIC
                 );
-                self.current = false;
+                self.up_to_date = false;
                 Ok(())
             }
             Err(error) => Err(error),
@@ -101,46 +101,46 @@
 
     /// Looks whether the topic goes beyond `position`, and reads the newest
     /// version if no change brings it in time.
-    fn look(&mut self, position: Option<u64>) -> Result<()> {
+    fn check_end(&mut self, position: Option<u64>) -> Result<()> {
         let end = self.store.end(config::TOPIC)?;
         let Some(position) = position else {
             return self.read_newest(end);
         };
-        self.current = position >= end;
-        if self.current || self.board.wait_held(end, self.change_wait()) {
+        self.up_to_date = position >= end;
+        if self.up_to_date || self.shared.wait_for_position(end, self.delta_wait()) {
             return Ok(());
         }
         event!(
             EventCode::ConfigBehind,
             "position={position} end={end} waited_ms={}",
-            self.change_wait().as_millis()
+            self.delta_wait().as_millis()
         );
         self.read_newest(end)
     }
 
     /// Time for which a change is waited for.
-    fn change_wait(&self) -> Duration {
-        CHANGE_WAIT + RELAY_STAGGER * self.board.place()
+    fn delta_wait(&self) -> Duration {
+        DELTA_WAIT + RELAY_STAGGER * self.shared.rank()
     }
 
     /// Reads the newest version of a topic that ended at `end`.
     fn read_newest(&mut self, end: u64) -> Result<()> {
         let Some(last) = end.checked_sub(1) else {
             // Nothing was published yet.
-            thread::sleep(FAILURE_PAUSE);
+            thread::sleep(RETRY_DELAY);
             return Ok(());
         };
-        let position = self.board.position();
+        let position = self.shared.position();
         let found = match self.store.read(config::TOPIC, last, Duration::ZERO) {
-            Ok(read) => self.take(&read, last),
+            Ok(read) => self.take_newest(&read, last),
             Err(StoreError::Expired { .. }) => false,
             Err(error) => return Err(error),
         };
-        if !found && !self.read_kept()? {
+        if !found && !self.read_newest_by_key()? {
             // One before the newest may still be newer than the one held.
             self.read_between(position.unwrap_or_default(), last)?;
         }
-        self.board.note_unreadable(end);
+        self.shared.skip_unreadable(end);
         Ok(())
     }
 
@@ -150,8 +150,8 @@
             match self.store.read(config::TOPIC, position, Duration::ZERO) {
                 Ok(read) if read.page.records.is_empty() => break,
                 Ok(read) => {
-                    self.take(&read, position);
-                    position += count(&read);
+                    self.take_newest(&read, position);
+                    position += record_count(&read);
                 }
                 Err(StoreError::Expired { first }) => position = first.max(position + 1),
                 Err(error) => return Err(error),
@@ -162,7 +162,7 @@
 
     /// Reads the newest version when its record has been deleted, or another
     /// key's record follows it; whether it can be read.
-    fn read_kept(&mut self) -> Result<bool> {
+    fn read_newest_by_key(&mut self) -> Result<bool> {
         let newest = self.store.newest(config::TOPIC)?;
         for kept in newest.records {
             let record = kept.record;
@@ -170,8 +170,8 @@
                 continue;
             }
             let value = record.value.unwrap_or_default();
-            if self.hold(&value, kept.offset + 1, newest.transfer, 0) {
-                self.board.note_unreadable(newest.next);
+            if self.decode_and_update(&value, kept.offset + 1, newest.transfer, 0) {
+                self.shared.skip_unreadable(newest.next);
                 return Ok(true);
             }
         }
@@ -180,9 +180,9 @@
 
     /// Takes the newest version of a page that begins at `first`; whether it
     /// holds one.
-    fn take(&mut self, read: &StoreRead, first: u64) -> bool {
-        let next = first + count(read);
-        self.current = next >= read.page.end;
+    fn take_newest(&mut self, read: &StoreRead, first: u64) -> bool {
+        let next = first + record_count(read);
+        self.up_to_date = next >= read.page.end;
         let mut offset = next;
         for record in read.page.records.iter().rev() {
             let behind = read.page.end.saturating_sub(offset);
@@ -195,8 +195,8 @@
             let Some(value) = record.value.filter(|_value| record.key == config::KEY) else {
                 continue;
             };
-            if self.hold(&value, end, read.transfer, behind) {
-                self.board.note_unreadable(next);
+            if self.decode_and_update(&value, end, read.transfer, behind) {
+                self.shared.skip_unreadable(next);
                 return true;
             }
         }
@@ -205,7 +205,13 @@
 
     /// Decodes a configuration that follows from all records before `next`,
     /// holds it and publishes what changed; whether it can be read.
-    fn hold(&self, value: &[u8], next: u64, transfer: ReplyTransfer, behind: u64) -> bool {
+    fn decode_and_update(
+        &self,
+        value: &[u8],
+        next: u64,
+        transfer: ReplyTransfer,
+        behind: u64,
+    ) -> bool {
         let begun = Instant::now();
         let config = match config::decode(value) {
             Ok(config) => Arc::new(config),
@@ -227,8 +233,8 @@
             decode: begun.elapsed(),
             told: Instant::now(),
         };
-        let before = self.board.held();
-        self.board.hold(Arc::clone(&config), next, arrival);
+        let before = self.shared.current();
+        self.shared.update(Arc::clone(&config), next, arrival);
         if let Some(before) = before.filter(|before| before.next < next) {
             self.publish(&before, next, &config);
         }
@@ -237,17 +243,17 @@
 
     /// Publishes what makes `config` out of `before`, after the relays that
     /// come before this one had time to do so.
-    fn publish(&self, before: &HeldConfig, next: u64, config: &FleetConfig) {
-        let stagger = RELAY_STAGGER * self.board.place();
-        if self.board.wait_published(next, stagger) {
+    fn publish(&self, before: &CurrentConfig, next: u64, config: &FleetConfig) {
+        let stagger = RELAY_STAGGER * self.shared.rank();
+        if self.shared.wait_for_delta(next, stagger) {
             return;
         }
         let change = ConfigChange::between((before.next, &before.config), (next, config));
-        changes::publish(self.store, self.board, &change);
+        deltas::publish(self.store, self.shared, &change);
     }
 }
 
 /// Records of a read.
-fn count(read: &StoreRead) -> u64 {
+fn record_count(read: &StoreRead) -> u64 {
     u64::try_from(read.page.records.len()).unwrap_or(u64::MAX)
 }
--- a/crates/hibiscus-front/src/config/board.rs
+++ b/crates/hibiscus-front/src/config/shared.rs
@@ -17,11 +17,11 @@
 use hibiscus_traffic::updates::UpdateSender;
 
 use crate::follow;
-use crate::relay::RelayDuty;
+use crate::relay::RelayRole;
 
 /// A configuration and where it stands in the operators' topic.
 #[derive(Clone, Debug)]
-pub(super) struct HeldConfig {
+pub(super) struct CurrentConfig {
     /// The configuration.
     pub(super) config: Arc<FleetConfig>,
     /// Offset after the last record that it follows from.
@@ -29,59 +29,59 @@
 }
 
 #[derive(Debug, Default)]
-struct BoardState {
-    held: Option<HeldConfig>,
+struct SharedState {
+    current: Option<CurrentConfig>,
     /// Offset up to which records were read that hold no readable
     /// configuration.
-    unreadable: u64,
+    unreadable_end: u64,
     /// Largest [`ConfigChange::next`] that was read.
-    published: u64,
+    published_next: u64,
     /// Offset after the last record of the changes that was read.
-    changes_end: Option<u64>,
+    deltas_end: Option<u64>,
 }
 
-impl BoardState {
+impl SharedState {
     /// Offset from which on the operators' topic has to be read; `None` before
     /// anything was read of it.
     fn position(&self) -> Option<u64> {
-        let held = self.held.as_ref().map(|held| held.next);
-        let read = held.unwrap_or_default().max(self.unreadable);
+        let current = self.current.as_ref().map(|current| current.next);
+        let read = current.unwrap_or_default().max(self.unreadable_end);
         (read > 0).then_some(read)
     }
 }
 
 /// What the threads that follow the configuration share.
-pub(crate) struct ConfigBoard {
-    state: Mutex<BoardState>,
+pub(crate) struct SharedConfig {
+    state: Mutex<SharedState>,
     changed: Condvar,
-    duty: Arc<RelayDuty>,
+    role: Arc<RelayRole>,
     updates: UpdateSender,
 }
 
-impl ConfigBoard {
-    pub(super) fn new(updates: UpdateSender, duty: Arc<RelayDuty>) -> Self {
+impl SharedConfig {
+    pub(super) fn new(updates: UpdateSender, role: Arc<RelayRole>) -> Self {
         Self {
             state: Mutex::default(),
             changed: Condvar::new(),
-            duty,
+            role,
             updates,
         }
     }
 
     /// How many instances come before this one as a relay, at most
     /// [`hibiscus_traffic::relays::RELAYS`].
-    pub(super) fn place(&self) -> u32 {
-        self.duty.place()
+    pub(super) fn rank(&self) -> u32 {
+        self.role.rank()
     }
 
     /// Whether this instance waits for records of the operators.
     pub(super) fn is_relay(&self) -> bool {
-        self.duty.is_relay()
+        self.role.is_relay()
     }
 
     /// The configuration that is held.
-    pub(super) fn held(&self) -> Option<HeldConfig> {
-        self.lock().held.clone()
+    pub(super) fn current(&self) -> Option<CurrentConfig> {
+        self.lock().current.clone()
     }
 
     /// Offset from which on the operators' topic has to be read; `None` before
@@ -92,16 +92,20 @@
 
     /// Notes that the records before the offset `end` which are not held have
     /// no readable configuration.
-    pub(super) fn note_unreadable(&self, end: u64) {
+    pub(super) fn skip_unreadable(&self, end: u64) {
         let mut state = self.lock();
-        state.unreadable = state.unreadable.max(end);
+        state.unreadable_end = state.unreadable_end.max(end);
     }
 
     /// Holds `config`, which follows from all records before `next`, unless a
     /// newer one is held.
-    pub(super) fn hold(&self, config: Arc<FleetConfig>, next: u64, arrival: ConfigArrival) {
+    pub(super) fn update(&self, config: Arc<FleetConfig>, next: u64, arrival: ConfigArrival) {
         let mut state = self.lock();
-        if state.held.as_ref().is_some_and(|held| held.next >= next) {
+        if state
+            .current
+            .as_ref()
+            .is_some_and(|current| current.next >= next)
+        {
             return;
         }
         self.replace(&mut state, config, next, arrival);
@@ -113,20 +117,20 @@
         let begun = Instant::now();
         let (base, next) = (change.base, change.next);
         let mut state = self.lock();
-        state.published = state.published.max(next);
+        state.published_next = state.published_next.max(next);
         self.changed.notify_all();
-        let Some(held) = state.held.clone().filter(|held| held.next < next) else {
+        let Some(current) = state.current.clone().filter(|current| current.next < next) else {
             return;
         };
-        if held.next != base {
+        if current.next != base {
             event!(
                 EventCode::ChangeNotApplied,
                 "base={base} next={next} held={}",
-                held.next
+                current.next
             );
             return;
         }
-        match change.apply(&held.config) {
+        match change.apply(&current.config) {
             Ok(config) => {
                 let arrival = ConfigArrival {
                     decode: begun.elapsed(),
@@ -146,35 +150,35 @@
     /// that it learns of versions in their order.
     fn replace(
         &self,
-        state: &mut BoardState,
+        state: &mut SharedState,
         config: Arc<FleetConfig>,
         next: u64,
         arrival: ConfigArrival,
     ) {
         let told = Arc::clone(&config);
-        state.held = Some(HeldConfig { config, next });
+        state.current = Some(CurrentConfig { config, next });
         let update = TrafficUpdate::Config {
             config: told,
             arrival,
         };
-        follow::tell(&self.updates, update);
+        follow::send_update(&self.updates, update);
         self.changed.notify_all();
     }
 
     /// Notes that the changes were read up to the offset `end`.
-    pub(super) fn set_changes_end(&self, end: Option<u64>) {
-        self.lock().changes_end = end;
+    pub(super) fn set_deltas_end(&self, end: Option<u64>) {
+        self.lock().deltas_end = end;
         self.changed.notify_all();
     }
 
     /// Offset after the last record of the changes that was read.
-    pub(super) fn changes_end(&self) -> Option<u64> {
-        self.lock().changes_end
+    pub(super) fn deltas_end(&self) -> Option<u64> {
+        self.lock().deltas_end
     }
 
     /// Waits up to `limit` until all records before `end` are held; whether
     /// they are.
-    pub(super) fn wait_held(&self, end: u64, limit: Duration) -> bool {
+    pub(super) fn wait_for_position(&self, end: u64, limit: Duration) -> bool {
         self.wait(limit, |state| {
             state.position().is_some_and(|position| position >= end)
         })
@@ -182,18 +186,18 @@
 
     /// Waits up to `limit` until a change up to the offset `next` is
     /// published; whether it is.
-    pub(super) fn wait_published(&self, next: u64, limit: Duration) -> bool {
-        self.wait(limit, |state| state.published >= next)
+    pub(super) fn wait_for_delta(&self, next: u64, limit: Duration) -> bool {
+        self.wait(limit, |state| state.published_next >= next)
     }
 
     /// Waits up to `limit` until the changes were read beyond `end`.
-    pub(super) fn wait_changes(&self, end: u64, limit: Duration) {
+    pub(super) fn wait_for_deltas_after(&self, end: u64, limit: Duration) {
         self.wait(limit, |state| {
-            state.changes_end.is_some_and(|read| read > end)
+            state.deltas_end.is_some_and(|read| read > end)
         });
     }
 
-    fn wait(&self, limit: Duration, done: impl Fn(&BoardState) -> bool) -> bool {
+    fn wait(&self, limit: Duration, done: impl Fn(&SharedState) -> bool) -> bool {
         let state = self.lock();
         let woken = self
             .changed
@@ -202,7 +206,7 @@
         done(&state)
     }
 
-    fn lock(&self) -> MutexGuard<'_, BoardState> {
+    fn lock(&self) -> MutexGuard<'_, SharedState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/hibiscus-front/src/follow.rs
+++ b/crates/hibiscus-front/src/follow.rs
@@ -21,15 +21,15 @@
 use platform::store::StoreClient;
 use platform::store::StoreError;
 
-use crate::reach::FAILURE_PAUSE;
-use crate::reach::READ_WAIT;
-use crate::reach::ReachLog;
+use crate::topic_monitor::READ_WAIT;
+use crate::topic_monitor::RETRY_DELAY;
+use crate::topic_monitor::TopicMonitor;
 
 /// Topic of the instances' announcements.
 const INSTANCES_TOPIC: &str = "keyed.instances";
 /// Pause between reads of the accounts, so that one read brings the records
 /// of several instances. A verdict that is awaited ends it.
-const ACCOUNTS_PAUSE: Duration = Duration::from_millis(300);
+const ACCOUNTS_READ_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What a thread does with the records of a keyed topic.
 pub(crate) trait TopicReader {
@@ -50,20 +50,20 @@
     /// Takes over the newest record of each key.
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
         for record in records {
-            self.take(record, updates);
+            self.apply(record, updates);
         }
     }
 
     /// Takes over a record that was appended.
-    fn take(&mut self, record: KeyedRecord, updates: &UpdateSender);
+    fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender);
 
     /// A call failed, or succeeded.
-    fn reached(&mut self, _reached: bool, _updates: &UpdateSender) {}
+    fn call_finished(&mut self, _reached: bool, _updates: &UpdateSender) {}
 }
 
 /// Sends news to the traffic thread, waiting for room. It fails only when
 /// that thread has ended, and the process with it.
-pub(crate) fn tell(updates: &UpdateSender, update: TrafficUpdate) {
+pub(crate) fn send_update(updates: &UpdateSender, update: TrafficUpdate) {
     if updates.blocking_send(update).is_err() {
         event!(EventCode::UpdateTooLate, "");
     }
@@ -77,26 +77,26 @@
     mut reader: R,
 ) {
     let topic = reader.topic();
-    let mut reach = ReachLog::default();
+    let mut monitor = TopicMonitor::default();
     let mut next: Option<u64> = None;
     loop {
         let step = match next {
             None => store.newest(topic).map(|newest| {
-                reader.reached(true, updates);
+                reader.call_finished(true, updates);
                 let records = newest.records.into_iter();
                 let records = records.map(|kept| kept.record).collect();
                 reader.reset(records, updates);
                 newest.next
             }),
             Some(from) => store
-                .read(topic, from, reach.wait_or(reader.wait()))
+                .read(topic, from, monitor.wait_or(reader.wait()))
                 .map(|read| {
-                    reader.reached(true, updates);
+                    reader.call_finished(true, updates);
                     let records = &read.page.records;
                     let count = u64::try_from(records.len()).unwrap_or(u64::MAX);
                     for record in records {
                         match records::decode_keyed(record) {
-                            Some(record) => reader.take(record, updates),
+                            Some(record) => reader.apply(record, updates),
                             None => event!(EventCode::RecordWithoutKey, "topic={topic}"),
                         }
                     }
@@ -105,7 +105,7 @@
         };
         match step {
             Ok(offset) => {
-                reach.succeeded(topic);
+                monitor.succeeded(topic);
                 next = Some(offset);
                 thread::sleep(reader.pause());
             }
@@ -114,9 +114,9 @@
                 next = None;
             }
             Err(error) => {
-                reach.failed(topic, &error);
-                reader.reached(false, updates);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(topic, &error);
+                reader.call_finished(false, updates);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
@@ -132,17 +132,17 @@
 
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
         for record in records {
-            self.take(record, updates);
+            self.apply(record, updates);
         }
-        tell(updates, TrafficUpdate::InstancesRead);
+        send_update(updates, TrafficUpdate::InstancesRead);
     }
 
-    fn take(&mut self, record: KeyedRecord, updates: &UpdateSender) {
+    fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender) {
         let Some(value) = record.value else {
             return;
         };
         match codec::decode::<InstanceEntry>(&value) {
-            Ok(entry) => tell(updates, TrafficUpdate::Instance(entry)),
+            Ok(entry) => send_update(updates, TrafficUpdate::Instance(entry)),
             Err(error) => event!(
                 EventCode::AnnouncementUnreadable,
                 "key={} cause={error}",
@@ -171,7 +171,7 @@
     let record = records::encode_keyed(own.name.as_str(), &value);
     while let Err(error) = store.append(INSTANCES_TOPIC, std::slice::from_ref(&record)) {
         event!(EventCode::AnnouncementRepeated, "cause={error}");
-        thread::sleep(FAILURE_PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
 
@@ -208,22 +208,22 @@
 /// Follows the account stream from its oldest record, after the snapshots if
 /// records have expired, for as long as `gate` is open.
 pub(crate) fn follow_accounts(store: &StoreClient, updates: &UpdateSender, gate: &AccountsGate) {
-    let mut reach = ReachLog::default();
+    let mut monitor = TopicMonitor::default();
     let mut next = 0;
-    let mut current = false;
+    let mut caught_up = false;
     loop {
         gate.wait();
-        let wait = if current {
-            reach.wait()
+        let wait = if caught_up {
+            monitor.wait()
         } else {
             Duration::ZERO
         };
         let page = match store.read(account::STREAM, next, wait) {
             Err(StoreError::Expired { first }) => {
                 event!(EventCode::AccountsExpired, "first={first} next={next}");
-                resume_accounts(store, updates, first).map(|()| {
+                read_snapshots(store, updates, first).map(|()| {
                     next = first;
-                    current = false;
+                    caught_up = false;
                     None
                 })
             }
@@ -232,33 +232,33 @@
         match page {
             Ok(None) => {}
             Ok(Some(page)) => {
-                reach.succeeded(account::STREAM);
+                monitor.succeeded(account::STREAM);
                 let end = page.end;
-                tell(updates, TrafficUpdate::AccountsEnd(end));
+                send_update(updates, TrafficUpdate::AccountsEnd(end));
                 let first = next;
                 let records = page.records;
                 next += u64::try_from(records.len()).unwrap_or(u64::MAX);
                 if !records.is_empty() {
-                    tell(updates, TrafficUpdate::Accounts { first, records });
+                    send_update(updates, TrafficUpdate::Accounts { first, records });
                 }
-                if next >= end && !current {
-                    current = true;
-                    tell(updates, TrafficUpdate::AccountsCurrent);
+                if next >= end && !caught_up {
+                    caught_up = true;
+                    send_update(updates, TrafficUpdate::AccountsCurrent);
                 }
-                if current {
-                    thread::park_timeout(ACCOUNTS_PAUSE);
+                if caught_up {
+                    thread::park_timeout(ACCOUNTS_READ_INTERVAL);
                 }
             }
             Err(error) => {
-                reach.failed(account::STREAM, &error);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(account::STREAM, &error);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
 }
 
 /// Hands the snapshots over that stand for the records before `first`.
-fn resume_accounts(
+fn read_snapshots(
     store: &StoreClient,
     updates: &UpdateSender,
     first: u64,
@@ -277,6 +277,6 @@
             ),
         }
     }
-    tell(updates, TrafficUpdate::AccountsResumed { first, snapshots });
+    send_update(updates, TrafficUpdate::AccountsResumed { first, snapshots });
     Ok(())
 }
--- a/crates/hibiscus-front/src/main.rs
+++ b/crates/hibiscus-front/src/main.rs
@@ -9,12 +9,12 @@
 mod cli;
 mod config;
 mod follow;
-mod reach;
 mod relay;
 mod serve;
 mod servers;
 mod signals;
 mod suspects;
+mod topic_monitor;
 
 use std::process::ExitCode;
 
--- a/crates/hibiscus-front/src/relay.rs
+++ b/crates/hibiscus-front/src/relay.rs
@@ -11,38 +11,38 @@
 /// Whether this instance is one of the few that read topics as they are written
 /// and publish what changes. The traffic thread sets it, others look at it.
 #[derive(Debug, Default)]
-pub(crate) struct RelayDuty {
+pub(crate) struct RelayRole {
     /// How many instances come before this one.
-    place: AtomicUsize,
+    rank: AtomicUsize,
     /// Whether the fleet is so large that a few read for the others.
     large: AtomicBool,
 }
 
-impl RelayDuty {
+impl RelayRole {
     /// Notes how many instances come before this one, and whether the fleet is
     /// `large`.
-    pub(crate) fn set(&self, place: usize, large: bool) {
+    pub(crate) fn set(&self, rank: usize, large: bool) {
         let before = (self.is_relay(), self.is_large());
-        self.place.store(place, Ordering::Relaxed);
+        self.rank.store(rank, Ordering::Relaxed);
         self.large.store(large, Ordering::Relaxed);
         if before != (self.is_relay(), self.is_large()) {
             event!(
                 EventCode::RelayChanged,
-                "relay={} place={place} large={large}",
+                "relay={} place={rank} large={large}",
                 self.is_relay()
             );
         }
     }
 
     /// How many instances come before this one, at most [`RELAYS`].
-    pub(crate) fn place(&self) -> u32 {
-        let place = self.place.load(Ordering::Relaxed).min(RELAYS);
-        u32::try_from(place).unwrap_or(u32::MAX)
+    pub(crate) fn rank(&self) -> u32 {
+        let rank = self.rank.load(Ordering::Relaxed).min(RELAYS);
+        u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
     /// Whether this instance is one of the few.
     pub(crate) fn is_relay(&self) -> bool {
-        self.place.load(Ordering::Relaxed) < RELAYS
+        self.rank.load(Ordering::Relaxed) < RELAYS
     }
 
     /// Whether a few read for the others.
--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -49,8 +49,8 @@
 use metrics_exporter_prometheus::PrometheusBuilder;
 use metrics_exporter_prometheus::PrometheusHandle;
 use metrics_exporter_prometheus::PrometheusRecorder;
-use platform::answers;
-use platform::headers::PlatformDialect;
+use platform::endpoints;
+use platform::headers::PlatformFormat;
 use platform::settings::ProcessSettings;
 use platform::store::StoreClient;
 use tokio::net::TcpListener;
@@ -60,7 +60,7 @@
 use crate::config;
 use crate::follow;
 use crate::follow::AccountsGate;
-use crate::relay::RelayDuty;
+use crate::relay::RelayRole;
 use crate::servers;
 use crate::signals;
 use crate::suspects;
@@ -69,26 +69,26 @@
 const METRICS_PATH: &str = "/metrics";
 /// Time for which a caller keeps an address answer: an instance that died is
 /// forgotten within it.
-const ADDRESS_LIFETIME: Duration = Duration::from_secs(2);
+const ADDRESS_TTL: Duration = Duration::from_secs(2);
 /// Time between two looks at budgets and servers.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two looks at the levels; the platform reads them each 5 s.
-const LEVELS_PAUSE: Duration = Duration::from_secs(2);
+const LEVELS_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between two looks at the use of memory: a link of 10 Mbit/s brings
 /// 0.6 MB meanwhile.
-const MEMORY_PAUSE: Duration = Duration::from_millis(500);
+const MEMORY_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after the begin of a planned stop during which new requests are still
 /// served: callers keep addresses for up to three lifetimes, and streams need
 /// their time before the process is killed.
-const SERVING_STOP: Duration = Duration::from_millis(3_000);
+const SHUTDOWN_SERVING_TIME: Duration = Duration::from_millis(3_000);
 /// Part of the time between SIGTERM and SIGKILL that is used.
-const STOP_PART: f64 = 0.95;
+const SHUTDOWN_SHARE: f64 = 0.95;
 /// Time for the callers that came last, once the accounts are closed.
-const LAST_CALLERS: Duration = Duration::from_millis(600);
+const LAST_CALLERS_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time between two looks at them.
-const CALLERS_PAUSE: Duration = Duration::from_millis(5);
+const CALLERS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Stack of the threads that only move records, in bytes.
-const STACK_BYTES: usize = 256 * 1024;
+const THREAD_STACK_BYTES: usize = 256 * 1024;
 
 /// Why the daemon did not start.
 #[derive(Debug, thiserror::Error)]
@@ -116,16 +116,16 @@
 pub(crate) type Result<T> = std::result::Result<T, ServeError>;
 
 /// What serving needs of the other duties.
-struct FrontDuties {
+struct ServeParts {
     store: StoreClient,
     own: InstanceEntry,
     keys: PinnedKeys,
-    duty: Arc<RelayDuty>,
+    role: Arc<RelayRole>,
     accounts: Arc<AccountsGate>,
 }
 
 /// State of this daemon's request path.
-type FrontState = TrafficState<PlatformDialect>;
+type FrontState = TrafficState<PlatformFormat>;
 
 /// Runs the daemon until a planned stop is complete.
 ///
@@ -178,25 +178,25 @@
     );
     let store = StoreClient::new(settings.store);
     let (sender, receiver) = updates::ring();
-    let (outbox, batches) = mpsc::sync_channel(append::RING_CAPACITY);
-    let (news, suspect_batches) = mpsc::sync_channel(suspects::RING_CAPACITY);
+    let (outbox, batches) = mpsc::sync_channel(append::QUEUE_CAPACITY);
+    let (news, suspect_batches) = mpsc::sync_channel(suspects::QUEUE_CAPACITY);
     spawn("signals", {
         let sender = sender.clone();
         move || signals::run(&mut signals, &sender)
     })?;
-    let duty = Arc::new(RelayDuty::default());
-    let board = config::board(sender.clone(), Arc::clone(&duty));
+    let role = Arc::new(RelayRole::default());
+    let shared = config::shared(sender.clone(), Arc::clone(&role));
     spawn("config", {
-        let (store, board) = (store.clone(), Arc::clone(&board));
-        move || config::follow_operators(&store, &board)
+        let (store, shared) = (store.clone(), Arc::clone(&shared));
+        move || config::follow_operators(&store, &shared)
     })?;
     spawn("changes", {
-        let (store, board) = (store.clone(), Arc::clone(&board));
-        move || config::follow_changes(&store, &board)
+        let (store, shared) = (store.clone(), Arc::clone(&shared));
+        move || config::follow_deltas(&store, &shared)
     })?;
     spawn("servers", {
-        let (store, sender, duty) = (store.clone(), sender.clone(), Arc::clone(&duty));
-        move || servers::follow_servers(&store, &sender, &duty)
+        let (store, sender, role) = (store.clone(), sender.clone(), Arc::clone(&role));
+        move || servers::follow_servers(&store, &sender, &role)
     })?;
     let accounts = Arc::new(AccountsGate::default());
     let reader = spawn("accounts", {
@@ -228,7 +228,7 @@
         window: settings.retry_window,
     });
     let state = Rc::new(TrafficState::new(TrafficParts {
-        dialect: PlatformDialect,
+        dialect: PlatformFormat,
         data_centre: settings.data_centre.clone(),
         budgets: desk,
         retries,
@@ -246,11 +246,11 @@
             state,
             receiver,
             metrics,
-            FrontDuties {
+            ServeParts {
                 store,
                 own,
                 keys,
-                duty,
+                role,
                 accounts,
             },
         ),
@@ -269,7 +269,7 @@
         (measures::REQUEST_TIME, &times[..]),
         (measures::EVENT_GAP, &measures::GAP_BOUNDS[..]),
         (measures::TIMER_LATENESS, &times[..]),
-        (platform::store::CALL_TIME, &times[..]),
+        (platform::store::CALL_SECONDS_METRIC, &times[..]),
     ];
     let mut builder = PrometheusBuilder::new();
     for (name, bounds) in bounds {
@@ -282,7 +282,7 @@
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<thread::JoinHandle<()>> {
     thread::Builder::new()
         .name(name.to_owned())
-        .stack_size(STACK_BYTES)
+        .stack_size(THREAD_STACK_BYTES)
         .spawn(work)
 }
 
@@ -292,13 +292,13 @@
     state: Rc<FrontState>,
     mut updates: UpdateReceiver,
     metrics: PrometheusHandle,
-    duties: FrontDuties,
+    duties: ServeParts,
 ) -> Result<()> {
-    let FrontDuties {
+    let ServeParts {
         store,
         own,
         keys,
-        duty,
+        role,
         accounts,
     } = duties;
     let callers = bind(settings.callers).await?;
@@ -312,28 +312,28 @@
     tokio::task::spawn_local(peers::answer_calls(Rc::clone(&state), calls));
     tokio::task::spawn_local(recovery::close_unproven(Rc::clone(&state)));
     tokio::task::spawn_local(recovery::close_strangers(Rc::clone(&state)));
-    tokio::task::spawn_local(members::keep(Rc::clone(&state), answers::READINESS_PATH));
+    tokio::task::spawn_local(members::keep(Rc::clone(&state), endpoints::READINESS_PATH));
     tokio::task::spawn_local(endings::keep(Rc::clone(&state)));
     tokio::task::spawn_local(hibiscus_traffic::suspects::keep(Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_callers(callers, Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_calls(
         readiness,
         Rc::clone(&state),
-        answer_ready,
+        readiness_response,
     ));
-    let lifetime = ADDRESS_LIFETIME.min(settings.address_lifetime);
+    let lifetime = ADDRESS_TTL.min(settings.address_lifetime);
     tokio::task::spawn_local(port::serve_calls(
         directory,
         Rc::clone(&state),
-        move |state: &FrontState, request| answer_addresses(state, request, lifetime),
+        move |state: &FrontState, request| addresses_response(state, request, lifetime),
     ));
     tokio::task::spawn_local(port::serve_calls(operators, Rc::clone(&state), {
         let metrics = metrics.clone();
-        move |_state: &FrontState, request: &Request<Incoming>| answer_metrics(&metrics, request)
+        move |_state: &FrontState, request: &Request<Incoming>| metrics_response(&metrics, request)
     }));
     tokio::task::spawn_local(show_levels(Rc::clone(&state), metrics));
     tokio::task::spawn_local(watch_memory(Rc::clone(&state)));
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while state.stopping().is_none() {
         tokio::select! {
@@ -347,7 +347,7 @@
                 state.expire_servers();
                 state.directory.borrow_mut().tick();
                 let large = state.directory.borrow().is_large();
-                duty.set(state.relay_place(), large);
+                role.set(state.relay_place(), large);
                 state.members.notify_one();
                 state.end_slow_heads();
                 state.share_server_connections();
@@ -372,18 +372,18 @@
 /// what the histograms took: until then it keeps every value.
 async fn show_levels(state: Rc<FrontState>, metrics: PrometheusHandle) {
     loop {
-        tokio::time::sleep(LEVELS_PAUSE).await;
+        tokio::time::sleep(LEVELS_INTERVAL).await;
         state.show_levels();
         state.suspects.tick(state.keeps_suspects(), state.now());
         if let Some(link) = state.link.borrow().as_ref() {
-            show_link(&link.counts());
+            record_link_metrics(&link.counts());
         }
         metrics.run_upkeep();
     }
 }
 
 /// Shows what the link to the other instances counts.
-fn show_link(counts: &LinkCounts) {
+fn record_link_metrics(counts: &LinkCounts) {
     let open = [("out", counts.open_out), ("in", counts.open_in)];
     for (direction, count) in open {
         gauge!("hibiscus_peer_connections", "direction" => direction).set(count as f64);
@@ -404,7 +404,7 @@
 /// Keeps the use of memory in bounds for as long as the runtime runs.
 async fn watch_memory(state: Rc<FrontState>) {
     loop {
-        tokio::time::sleep(MEMORY_PAUSE).await;
+        tokio::time::sleep(MEMORY_INTERVAL).await;
         state.drop_unusable_links();
         if let Some(resident) = machine::resident() {
             state.note_memory(resident);
@@ -416,8 +416,8 @@
 /// waits for what is in progress.
 async fn stop(settings: &ProcessSettings, state: &Rc<FrontState>, updates: &mut UpdateReceiver) {
     let begun = tokio::time::Instant::now();
-    let limit = begun + settings.stop_limit.mul_f64(STOP_PART);
-    let mut tick = tokio::time::interval(TICK);
+    let limit = begun + settings.termination_grace.mul_f64(SHUTDOWN_SHARE);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     loop {
         tokio::select! {
             update = updates.recv() => {
@@ -427,7 +427,7 @@
             }
             _at = tick.tick() => state.review_budgets(),
         }
-        if begun.elapsed() < SERVING_STOP {
+        if begun.elapsed() < SHUTDOWN_SERVING_TIME {
             continue;
         }
         if !state.is_closing() {
@@ -446,10 +446,10 @@
     }
     // The last connections are answered that nothing runs here any more.
     state.close_port();
-    let ended = limit.min(tokio::time::Instant::now() + LAST_CALLERS);
+    let ended = limit.min(tokio::time::Instant::now() + LAST_CALLERS_TIMEOUT);
     loop {
         // Lets the port's task accept what waits there.
-        tokio::time::sleep(CALLERS_PAUSE).await;
+        tokio::time::sleep(CALLERS_POLL_INTERVAL).await;
         if state.callers.is_empty() || tokio::time::Instant::now() >= ended {
             break;
         }
@@ -484,8 +484,8 @@
 }
 
 /// Answers the readiness check.
-fn answer_ready(state: &FrontState, request: &Request<Incoming>) -> Response<AnswerBody> {
-    if request.uri().path() != answers::READINESS_PATH {
+fn readiness_response(state: &FrontState, request: &Request<Incoming>) -> Response<AnswerBody> {
+    if request.uri().path() != endpoints::READINESS_PATH {
         return answer::status_answer(http::StatusCode::NOT_FOUND);
     }
     state.tally.readiness_asked.add();
@@ -497,26 +497,29 @@
 }
 
 /// Answers a caller that asks which instances to use.
-fn answer_addresses(
+fn addresses_response(
     state: &FrontState,
     request: &Request<Incoming>,
     lifetime: Duration,
 ) -> Response<AnswerBody> {
-    if request.uri().path() != answers::DIRECTORY_PATH {
+    if request.uri().path() != endpoints::RESOLVE_PATH {
         return answer::status_answer(http::StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
-    let data_centre = answers::caller_data_centre(query);
+    let data_centre = endpoints::caller_data_centre(query);
     let directory = state.directory.borrow();
     let caller = request.extensions().get::<CallerAddress>();
     let caller = caller.map(|caller| caller.0);
     let addresses = directory.addresses_for(data_centre.as_ref(), caller);
-    let body = answers::addresses_body(&addresses, lifetime);
+    let body = endpoints::addresses_body(&addresses, lifetime);
     answer::json_answer(body)
 }
 
 /// Answers a call for the metrics.
-fn answer_metrics(metrics: &PrometheusHandle, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn metrics_response(
+    metrics: &PrometheusHandle,
+    request: &Request<Incoming>,
+) -> Response<AnswerBody> {
     if request.uri().path() != METRICS_PATH {
         return answer::status_answer(http::StatusCode::NOT_FOUND);
     }
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -29,34 +29,34 @@
 use platform::store::StoreClient;
 use platform::store::StoreError;
 
-use crate::follow::tell;
-use crate::reach::FAILURE_PAUSE;
-use crate::reach::READ_WAIT;
-use crate::reach::ReachLog;
-use crate::relay::RelayDuty;
+use crate::follow::send_update;
+use crate::relay::RelayRole;
+use crate::topic_monitor::READ_WAIT;
+use crate::topic_monitor::RETRY_DELAY;
+use crate::topic_monitor::TopicMonitor;
 
 /// Pause between reads of the servers' entries, which are written all the
 /// time: a leaving server is known well within the 2 s that it may take.
-const ENTRIES_PAUSE: Duration = Duration::from_millis(250);
+const ENTRIES_READ_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Follows the servers' entries for as long as the process runs.
-pub(crate) fn follow_servers(store: &StoreClient, updates: &UpdateSender, duty: &RelayDuty) {
+pub(crate) fn follow_servers(store: &StoreClient, updates: &UpdateSender, role: &RelayRole) {
     let mut follower = ServersFollower {
         store,
         updates,
-        duty,
+        role,
         begun: Instant::now(),
         book: None,
         draft: None,
         news_next: 0,
         heard: Duration::ZERO,
     };
-    let mut reach = ReachLog::default();
+    let mut monitor = TopicMonitor::default();
     loop {
-        match follower.step(reach.wait_or(READ_WAIT)) {
+        match follower.step(monitor.wait_or(READ_WAIT)) {
             Ok(()) => {
-                reach.succeeded(servers::TOPIC);
-                tell(updates, TrafficUpdate::ServersRead);
+                monitor.succeeded(servers::TOPIC);
+                send_update(updates, TrafficUpdate::ServersRead);
             }
             Err(StoreError::Expired { first }) => {
                 event!(
@@ -67,9 +67,9 @@
                 follower.book = None;
             }
             Err(error) => {
-                reach.failed(servers::TOPIC, &error);
-                tell(updates, TrafficUpdate::ServersLost);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(servers::TOPIC, &error);
+                send_update(updates, TrafficUpdate::ServersLost);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
@@ -79,7 +79,7 @@
 struct ServersFollower<'a> {
     store: &'a StoreClient,
     updates: &'a UpdateSender,
-    duty: &'a RelayDuty,
+    role: &'a RelayRole,
     begun: Instant,
     /// The servers; `None` before their entries were read.
     book: Option<ServerBook>,
@@ -101,8 +101,8 @@
         let Some(mut book) = self.book.take() else {
             return self.begin();
         };
-        let is_relay = self.duty.is_relay();
-        let done = if !self.duty.is_large() {
+        let is_relay = self.role.is_relay();
+        let done = if !self.role.is_large() {
             self.draft = None;
             self.read_entries(&mut book, wait)
         } else if is_relay {
@@ -132,7 +132,7 @@
         self.book = Some(ServerBook::new(&entries, newest.next));
         self.draft = None;
         self.heard = self.now();
-        tell(self.updates, TrafficUpdate::AllServers(entries));
+        send_update(self.updates, TrafficUpdate::AllServers(entries));
         Ok(())
     }
 
@@ -152,10 +152,10 @@
                 if let Some(draft) = &mut self.draft {
                     draft.note(offset, change.clone(), now);
                 }
-                self.tell_change(change);
+                self.send_change(change);
             }
         }
-        thread::sleep(ENTRIES_PAUSE);
+        thread::sleep(ENTRIES_READ_INTERVAL);
         Ok(())
     }
 
@@ -166,15 +166,15 @@
             self.draft = Some(NewsDraft::new(book.position(), self.now()));
         }
         self.read_entries(book, wait)?;
-        let place = self.duty.place();
-        if place > 0 {
+        let rank = self.role.rank();
+        if rank > 0 {
             self.read_news(book, Duration::ZERO)?;
         }
         let now = self.now();
         let Some(draft) = &mut self.draft else {
             return Ok(());
         };
-        if !draft.is_due(place, now) {
+        if !draft.is_due(rank, now) {
             return Ok(());
         }
         let news = draft.news(book.position());
@@ -235,7 +235,7 @@
             match book.take_news(news) {
                 Ok(changes) => {
                     for change in changes {
-                        self.tell_change(change);
+                        self.send_change(change);
                     }
                 }
                 Err(gap) => {
@@ -251,12 +251,12 @@
         Ok(())
     }
 
-    fn tell_change(&self, change: ServerChange) {
+    fn send_change(&self, change: ServerChange) {
         let update = match change {
             ServerChange::Present(entry) => TrafficUpdate::Server(entry),
             ServerChange::Gone(name) => TrafficUpdate::ServerGone(name),
         };
-        tell(self.updates, update);
+        send_update(self.updates, update);
     }
 }
 
--- a/crates/hibiscus-front/src/suspects.rs
+++ b/crates/hibiscus-front/src/suspects.rs
@@ -27,16 +27,16 @@
 /// The topic.
 const TOPIC: &str = "keyed.suspects";
 /// Batches that wait for the thread that appends.
-pub(crate) const RING_CAPACITY: usize = 64;
+pub(crate) const QUEUE_CAPACITY: usize = 64;
 /// Time for which a read waits for a record. A connection that fell silent
 /// shows 0.9 s after it, within the 3 s in which instances must know.
 const READ_WAIT: Duration = Duration::from_secs(2);
 /// Time for which news are gathered into one append.
-const GATHER_TIME: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 /// Pause after a failed append.
-const FAILURE_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Records kept while the store is away; the oldest go first.
-const KEPT_LIMIT: usize = 4_096;
+const PENDING_RECORDS_LIMIT: usize = 4_096;
 
 /// Reads the topic.
 struct SuspectsReader;
@@ -58,13 +58,13 @@
             }
         }
         let update = SuspectUpdate::Whole(ends);
-        follow::tell(updates, TrafficUpdate::Suspects(update));
+        follow::send_update(updates, TrafficUpdate::Suspects(update));
     }
 
-    fn take(&mut self, record: KeyedRecord, updates: &UpdateSender) {
+    fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender) {
         if let Some(news) = decode(&record) {
             let update = SuspectUpdate::Appended(news);
-            follow::tell(updates, TrafficUpdate::Suspects(update));
+            follow::send_update(updates, TrafficUpdate::Suspects(update));
         }
     }
 }
@@ -100,17 +100,17 @@
     let mut kept: Vec<Vec<u8>> = Vec::new();
     while let Ok(news) = batches.recv() {
         kept.extend(news.iter().filter_map(encode));
-        thread::sleep(GATHER_TIME);
+        thread::sleep(BATCH_DELAY);
         loop {
             while let Ok(more) = batches.try_recv() {
                 kept.extend(more.iter().filter_map(encode));
             }
-            let surplus = kept.len().saturating_sub(KEPT_LIMIT);
+            let surplus = kept.len().saturating_sub(PENDING_RECORDS_LIMIT);
             kept.drain(..surplus);
             if append(store, limits, &mut kept) {
                 break;
             }
-            thread::sleep(FAILURE_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
     }
 }
--- a/crates/hibiscus-front/src/reach.rs
+++ b/crates/hibiscus-front/src/topic_monitor.rs
@@ -12,13 +12,13 @@
 pub(crate) const READ_WAIT: Duration = Duration::from_millis(1_500);
 /// Time for which a read waits while the store is away: its return is seen by
 /// the next call, not by one that waits on a connection of before.
-const AWAY_WAIT: Duration = Duration::from_millis(100);
+const UNREACHABLE_READ_WAIT: Duration = Duration::from_millis(100);
 /// Pause after a failed call.
-pub(crate) const FAILURE_PAUSE: Duration = Duration::from_millis(150);
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Logs the loss and the return of a topic.
 #[derive(Default)]
-pub(crate) struct ReachLog {
+pub(crate) struct TopicMonitor {
     /// When the first of the present failures was.
     lost: Option<Instant>,
     /// Failures since then.
@@ -27,7 +27,7 @@
     cut_bytes: usize,
 }
 
-impl ReachLog {
+impl TopicMonitor {
     /// Time for which the next read waits.
     pub(crate) fn wait(&self) -> Duration {
         self.wait_or(READ_WAIT)
@@ -35,11 +35,15 @@
 
     /// As [`Self::wait`], with `wait` while the topic can be read.
     pub(crate) fn wait_or(&self, wait: Duration) -> Duration {
-        if self.lost.is_some() { AWAY_WAIT } else { wait }
+        if self.lost.is_some() {
+            UNREACHABLE_READ_WAIT
+        } else {
+            wait
+        }
     }
 
     pub(crate) fn failed(&mut self, topic: &str, error: &StoreError) {
-        if let StoreError::Cut { transfer, .. } = error {
+        if let StoreError::Truncated { transfer, .. } = error {
             self.cut_bytes += transfer.bytes;
             event!(EventCode::ReplyCut, "topic={topic} cause={error}");
         }
--- a/tests/testsuite/front.rs
+++ b/tests/testsuite/front.rs
@@ -2,12 +2,13 @@
 
 mod accounts;
 mod changes;
+mod draining;
 mod ending;
 mod endless;
 mod entries;
 mod fleet;
 mod forwarding;
-mod leaving;
+
 mod lifetime;
 mod operations;
 mod soak;
@@ -27,16 +28,16 @@
 const PREPAID: u64 = 100_000;
 
 /// Time for news to be in force.
-const NEWS_LIMIT: Duration = Duration::from_secs(2);
+const UPDATE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Time after which instances that started together know each other.
-const SETTLED: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Give-up limit of waits.
-const LIMIT: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Time between looks of a wait.
-const POLL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A daemon before a store and one server for each service.
 struct Platform {
@@ -101,8 +102,8 @@
     fn start() -> Self {
         let store = StoreStandin::start();
         let engine = BackendStandin::start(BackendBehaviour::Events { count: 5 });
-        let plain = BackendStandin::start(BackendBehaviour::Answer);
-        let second = BackendStandin::start(BackendBehaviour::Answer);
+        let plain = BackendStandin::start(BackendBehaviour::Respond);
+        let second = BackendStandin::start(BackendBehaviour::Respond);
         store.write("keyed.op", "config", config(1, PREPAID, "").as_bytes());
         write_server(&store, "i-engine", "engine", &engine, "ready");
         write_server(&store, "i-plain", "plain", &plain, "ready");
@@ -123,13 +124,13 @@
     }
 
     /// Starts the daemon on the ports that it had, after it has ended.
-    fn start_again(&mut self) {
+    fn restart(&mut self) {
         let ports = self.front.ports;
         self.front = FrontProcess::start("front-1", ports, self.store.address());
         self.front.wait_ready();
     }
 
-    fn add_second(&self) {
+    fn add_second_server(&self) {
         let written = Instant::now();
         write_server(&self.store, "i-second", "plain", &self.second, "ready");
         let known = "HS5101 server known server=i-second";
@@ -165,13 +166,13 @@
     let mut fronts = Vec::new();
     for number in 0..instances {
         let name = format!("front-{number}");
-        let front = FrontProcess::start_first(&name, FrontPorts::find(), store.address());
+        let front = FrontProcess::start_bootstrap(&name, FrontPorts::find(), store.address());
         fronts.push(front);
     }
     for front in &fronts {
         front.wait_ready();
     }
-    thread::sleep(SETTLED);
+    thread::sleep(SETTLE_TIME);
     fronts
 }
 
@@ -182,14 +183,14 @@
     logs.filter(|log| log.contains(text)).count()
 }
 
-fn status(answer: &str) -> &str {
-    answer.split(' ').nth(1).unwrap_or("none")
+fn status(response: &str) -> &str {
+    response.split(' ').nth(1).unwrap_or("none")
 }
 
 fn wait_for(what: &str, mut check: impl FnMut() -> bool) {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !check() {
         assert!(Instant::now() < deadline, "gave up waiting for {what}");
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/testsuite/front/accounts.rs
+++ b/tests/testsuite/front/accounts.rs
@@ -17,8 +17,8 @@
 fn spend_all(platform: &Platform, round: usize) -> u64 {
     let mut spent = 0;
     for number in 0..60 {
-        let answer = platform.stream(&format!("id-{round}-{number}"), 2_500, 15);
-        spent += if status(&answer) == "200" { 2_515 } else { 0 };
+        let response = platform.stream(&format!("id-{round}-{number}"), 2_500, 15);
+        spent += if status(&response) == "200" { 2_515 } else { 0 };
     }
     spent
 }
@@ -42,15 +42,15 @@
     for round in 0..3 {
         for number in 0..40 {
             let id = format!("id-{round}-{number}");
-            let answer = platform.stream(&id, 2_500, 15);
-            match status(&answer) {
+            let response = platform.stream(&id, 2_500, 15);
+            match status(&response) {
                 "200" => prompts += 2_500 + 15,
                 "402" | "503" => refused = true,
-                other => panic!("{other}: {answer}"),
+                other => panic!("{other}: {response}"),
             }
         }
         platform.front.kill();
-        platform.start_again();
+        platform.restart();
     }
     assert!(refused, "{prompts} tokens were never refused");
     assert!(prompts <= PREPAID, "{prompts} tokens of {PREPAID}");
@@ -63,14 +63,14 @@
     let mut platform = Platform::start();
     let mut spent = 0;
     for number in 0..4 {
-        let answer = platform.stream(&format!("id-{number}"), 2_500, 15);
-        spent += if status(&answer) == "200" { 2_515 } else { 0 };
+        let response = platform.stream(&format!("id-{number}"), 2_500, 15);
+        spent += if status(&response) == "200" { 2_515 } else { 0 };
     }
     assert!(spent > 0);
     platform.front.signal(Signal::SIGTERM);
     assert!(platform.front.wait(Duration::from_secs(10)).is_some());
-    platform.store.forget_history("accounts");
-    platform.start_again();
+    platform.store.expire_history("accounts");
+    platform.restart();
     spent += spend_all(&platform, 1);
     assert!(spent <= PREPAID, "{spent} tokens of {PREPAID}");
     assert!(spent >= PREPAID * 9 / 10, "{spent} tokens of {PREPAID}");
@@ -82,8 +82,8 @@
     let mut spent = spend_all(&platform, 0);
     assert!(spent > 0);
     platform.front.kill();
-    platform.store.forget_history("accounts");
-    platform.start_again();
+    platform.store.expire_history("accounts");
+    platform.restart();
     spent += spend_all(&platform, 1);
     assert!(spent <= PREPAID, "{spent} tokens of {PREPAID}");
 }
@@ -101,8 +101,8 @@
         ..StoreFaults::default()
     });
     for number in 1..10 {
-        let answer = platform.stream(&format!("id-{number}"), 50, 15);
-        assert_eq!(status(&answer), "200", "{answer}");
+        let response = platform.stream(&format!("id-{number}"), 50, 15);
+        assert_eq!(status(&response), "200", "{response}");
     }
     assert!(platform.front.is_ready());
 }
@@ -120,13 +120,13 @@
     // follows within 0.4 s.
     let mut spent = 0;
     wait_for("the first answer after the fault", || {
-        let answer = platform.stream("id-first", 2_500, 15);
-        spent += if status(&answer) == "200" { 2_515 } else { 0 };
+        let response = platform.stream("id-first", 2_500, 15);
+        spent += if status(&response) == "200" { 2_515 } else { 0 };
         spent > 0
     });
     for number in 0..60 {
-        let answer = platform.stream(&format!("id-{number}"), 2_500, 15);
-        spent += if status(&answer) == "200" { 2_515 } else { 0 };
+        let response = platform.stream(&format!("id-{number}"), 2_500, 15);
+        spent += if status(&response) == "200" { 2_515 } else { 0 };
     }
     assert!(spent <= PREPAID, "{spent} tokens of {PREPAID}");
     assert!(spent >= PREPAID * 9 / 10, "{spent} tokens of {PREPAID}");
--- a/tests/testsuite/front/changes.rs
+++ b/tests/testsuite/front/changes.rs
@@ -24,9 +24,9 @@
 const MANY_ROUTES: usize = 2_800;
 
 /// Time after which a read that waits for records has ended.
-const READ_ENDED: Duration = Duration::from_secs(2);
+const READ_END_TIME: Duration = Duration::from_secs(2);
 /// Time after which the instances of a fleet know each other.
-const SETTLED: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 /// `count` routes more, and one at the path `/new-VERSION/`.
 fn more_routes(version: u64, count: usize) -> String {
@@ -51,8 +51,8 @@
 /// Whether `front` serves the route that `version` added.
 fn serves(front: &FrontProcess, version: u64) -> bool {
     let path = format!("/new-{version}/x");
-    let answer = front.call(&request(&path, &format!("id-{version}"), ""));
-    status(&answer) == "200"
+    let response = front.call(&request(&path, &format!("id-{version}"), ""));
+    status(&response) == "200"
 }
 
 /// Versions that came into force at `front`, in their order.
@@ -72,7 +72,7 @@
         read_rate: Some(200_000),
         ..StoreFaults::default()
     });
-    thread::sleep(READ_ENDED);
+    thread::sleep(READ_END_TIME);
     publish(&platform.store, 2, MANY_ROUTES);
     wait_for("version 2", || serves(&platform.front, 2));
 }
@@ -88,7 +88,7 @@
         read_rate: Some(200_000),
         ..StoreFaults::default()
     });
-    platform.start_again();
+    platform.restart();
     assert!(serves(&platform.front, 2));
 }
 
@@ -101,7 +101,7 @@
         refuse: Some(503),
         ..StoreFaults::default()
     });
-    thread::sleep(READ_ENDED);
+    thread::sleep(READ_END_TIME);
     for version in 2..14 {
         publish(&platform.store, version, 600);
     }
@@ -115,7 +115,7 @@
 }
 
 /// Topic of the changes that instances publish.
-const CHANGES_TOPIC: &str = "config-changes";
+const DELTAS_TOPIC: &str = "config-changes";
 
 /// Daemons before a store and a server, which know each other and hold version
 /// 1 with many routes.
@@ -128,7 +128,7 @@
 impl Fleet {
     fn start(instances: usize) -> Self {
         let store = StoreStandin::start();
-        let plain = BackendStandin::start(BackendBehaviour::Answer);
+        let plain = BackendStandin::start(BackendBehaviour::Respond);
         publish(&store, 1, MANY_ROUTES);
         write_server(&store, "i-plain", "plain", &plain, "ready");
         let start = |number| {
@@ -139,7 +139,7 @@
         for front in &fronts {
             front.wait_ready();
         }
-        thread::sleep(SETTLED);
+        thread::sleep(SETTLE_TIME);
         Self {
             store,
             _plain: plain,
@@ -161,10 +161,10 @@
 #[test]
 fn a_change_is_read_whole_by_a_few_instances_of_a_fleet() {
     let fleet = Fleet::start(10);
-    let before = fleet.store.handed_out("keyed.op");
+    let before = fleet.store.served_bytes("keyed.op");
     let size = config(2, PREPAID, &more_routes(2, MANY_ROUTES)).len();
     fleet.publish(2);
-    let read = (fleet.store.handed_out("keyed.op") - before) / size;
+    let read = (fleet.store.served_bytes("keyed.op") - before) / size;
     assert!(read <= 5, "the version was read {read} times");
 }
 
@@ -177,7 +177,7 @@
         ..StoreFaults::default()
     });
     fleet.publish(2);
-    assert!(fleet.store.records(CHANGES_TOPIC).is_empty());
+    assert!(fleet.store.records(DELTAS_TOPIC).is_empty());
     wait_for("the log", || count_logs(&fleet.fronts, "HS2013 ") >= 1);
     fleet.store.set_faults(StoreFaults::default());
     fleet.publish(3);
@@ -189,12 +189,12 @@
 fn late_copies_of_changes_and_records_that_are_none_change_nothing() {
     let fleet = Fleet::start(5);
     fleet.publish(2);
-    let change = fleet.store.records(CHANGES_TOPIC);
+    let change = fleet.store.records(DELTAS_TOPIC);
     assert!(!change.is_empty());
     fleet.publish(3);
-    fleet.store.append(CHANGES_TOPIC, change);
+    fleet.store.append(DELTAS_TOPIC, change);
     let garbage = vec![Vec::new(), vec![255; 40], b"no change".to_vec()];
-    fleet.store.append(CHANGES_TOPIC, garbage);
+    fleet.store.append(DELTAS_TOPIC, garbage);
     wait_for("the records", || count_logs(&fleet.fronts, "HS2012 ") == 5);
     for front in &fleet.fronts {
         assert!(serves(front, 3));
@@ -209,8 +209,8 @@
 fn changes_that_the_store_has_dropped_are_made_up_for() {
     let fleet = Fleet::start(5);
     fleet.publish(2);
-    fleet.store.forget_history(CHANGES_TOPIC);
-    fleet.store.forget_history("keyed.op");
+    fleet.store.expire_history(DELTAS_TOPIC);
+    fleet.store.expire_history("keyed.op");
     fleet.publish(3);
 }
 
@@ -226,7 +226,7 @@
         refuse: Some(503),
         ..StoreFaults::default()
     });
-    thread::sleep(READ_ENDED);
+    thread::sleep(READ_END_TIME);
     publish(&platform.store, 2, 1);
     platform.store.write("keyed.op", "config", UNREADABLE);
     platform.store.set_faults(StoreFaults::default());
@@ -240,7 +240,7 @@
 #[test]
 fn an_unreadable_configuration_is_read_a_few_times_by_an_instance_that_starts() {
     let store = StoreStandin::start();
-    let plain = BackendStandin::start(BackendBehaviour::Answer);
+    let plain = BackendStandin::start(BackendBehaviour::Respond);
     write_server(&store, "i-plain", "plain", &plain, "ready");
     store.write("keyed.op", "config", UNREADABLE);
     let front = FrontProcess::start("front-1", FrontPorts::find(), store.address());
@@ -248,8 +248,8 @@
         let log = std::fs::read_to_string(front.log_file()).unwrap_or_default();
         log.contains("HS2002 ")
     });
-    thread::sleep(SETTLED);
-    let reads = store.handed_out("keyed.op") / UNREADABLE.len();
+    thread::sleep(SETTLE_TIME);
+    let reads = store.served_bytes("keyed.op") / UNREADABLE.len();
     assert!(reads <= 20, "the configuration was read {reads} times");
     publish(&store, 10, 1);
     wait_for("version 10", || serves(&front, 10));
--- a/tests/testsuite/front/ending.rs
+++ b/tests/testsuite/front/ending.rs
@@ -28,19 +28,19 @@
 /// Servers of the service.
 const SERVERS: usize = 9;
 /// The body under which servers end.
-pub(super) const FATAL: &str = "fatal body";
+pub(super) const CRASH_BODY: &str = "fatal body";
 /// How often a caller sends such a request again.
 const REPEATS: usize = 30;
 /// Pause between two of them.
 const PAUSE: Duration = Duration::from_millis(400);
 /// Time after the third end by which all instances must know: the users'
 /// `stable-window-ms`.
-const KNOWN_LIMIT: Duration = Duration::from_secs(3);
+const QUARANTINE_LIMIT: Duration = Duration::from_secs(3);
 /// How often such a request may reach a server after that.
-const LATE_LIMIT: usize = 3;
+const LATE_ARRIVALS_LIMIT: usize = 3;
 
 /// Daemons before a store and servers that end under one body.
-pub(super) struct EndingFleet {
+pub(super) struct CrashFleet {
     pub(super) store: Arc<StoreStandin>,
     pub(super) servers: Vec<BackendStandin>,
     pub(super) fronts: Vec<FrontProcess>,
@@ -64,7 +64,7 @@
         .unwrap_or(INSTANCES)
 }
 
-impl EndingFleet {
+impl CrashFleet {
     pub(super) fn start(instances: usize) -> Self {
         Self::start_for("plain", instances)
     }
@@ -76,12 +76,13 @@
         let mut servers = Vec::new();
         for number in 0..SERVERS {
             let name = format!("i-{number}");
-            let server = BackendStandin::start_returning(BackendBehaviour::Answer, |address| {
-                write_start(&store, service, &name, address);
-                let store = Arc::clone(&store);
-                Box::new(move || write_start(&store, service, &name, address))
-            });
-            server.end_at(FATAL.as_bytes());
+            let server =
+                BackendStandin::start_with_restart_hook(BackendBehaviour::Respond, |address| {
+                    write_start(&store, service, &name, address);
+                    let store = Arc::clone(&store);
+                    Box::new(move || write_start(&store, service, &name, address))
+                });
+            server.crash_on(CRASH_BODY.as_bytes());
             servers.push(server);
         }
         Self {
@@ -107,42 +108,45 @@
     pub(super) fn repeat(&self, path: &str, times: usize) -> Vec<String> {
         let mut statuses = Vec::new();
         for number in 0..times {
-            statuses.push(self.send(number, path, FATAL));
+            statuses.push(self.send(number, path, CRASH_BODY));
             thread::sleep(PAUSE);
         }
         statuses
     }
 
     /// When servers ended, in order.
-    pub(super) fn ends(&self) -> Vec<Instant> {
-        let ends = self.servers.iter().flat_map(BackendStandin::ends);
-        let mut ends: Vec<Instant> = ends.collect();
-        ends.sort();
-        ends
+    pub(super) fn crash_times(&self) -> Vec<Instant> {
+        let times = self.servers.iter().flat_map(BackendStandin::crash_times);
+        let mut times: Vec<Instant> = times.collect();
+        times.sort();
+        times
     }
 
-    /// Fatal requests that reached a server later than [`KNOWN_LIMIT`] after
+    /// Fatal requests that reached a server later than [`QUARANTINE_LIMIT`] after
     /// the third end.
     fn late(&self) -> usize {
-        let Some(third) = self.ends().get(2).copied() else {
+        let Some(third) = self.crash_times().get(2).copied() else {
             return 0;
         };
-        let arrivals = self.servers.iter().flat_map(BackendStandin::fatal_arrivals);
-        arrivals.filter(|at| *at > third + KNOWN_LIMIT).count()
+        let arrivals = self
+            .servers
+            .iter()
+            .flat_map(BackendStandin::trigger_arrivals);
+        arrivals.filter(|at| *at > third + QUARANTINE_LIMIT).count()
     }
 
     /// Fails when the fatal request reached servers too often.
     fn check(&self, statuses: &[String]) {
-        let (ended, late) = (self.ends().len(), self.late());
+        let (ended, late) = (self.crash_times().len(), self.late());
         println!("servers ended {ended}, later than 3 s after the third {late}: {statuses:?}");
         assert!(
-            late <= LATE_LIMIT,
+            late <= LATE_ARRIVALS_LIMIT,
             "{ended} servers ended, {late} of them later than 3 s after the third: {statuses:?}"
         );
     }
 
     /// Starts the instance `number` again on its ports.
-    pub(super) fn start_again(&mut self, number: usize) {
+    pub(super) fn restart(&mut self, number: usize) {
         let ports = self.fronts[number].ports;
         let name = format!("front-{number}");
         self.fronts[number] = FrontProcess::start(&name, ports, self.store.address());
@@ -153,7 +157,7 @@
 /// (issue 23).
 #[test]
 fn an_idempotent_request_under_which_servers_end_is_not_sent_on_and_on() {
-    let fleet = EndingFleet::start(instances());
+    let fleet = CrashFleet::start(instances());
     let statuses = fleet.repeat("/often/x", REPEATS);
     fleet.check(&statuses);
 }
@@ -161,7 +165,7 @@
 /// Guards against the same for requests that may run once (issue 23).
 #[test]
 fn a_request_that_may_run_once_and_ends_servers_is_not_sent_on_and_on() {
-    let fleet = EndingFleet::start(instances());
+    let fleet = CrashFleet::start(instances());
     let statuses = fleet.repeat("/once/x", REPEATS);
     fleet.check(&statuses);
 }
@@ -170,9 +174,9 @@
 /// event (issue 23).
 #[test]
 fn a_stream_that_ends_servers_after_its_first_event_is_not_sent_on_and_on() {
-    let fleet = EndingFleet::start_for("engine", instances());
+    let fleet = CrashFleet::start_for("engine", instances());
     for server in &fleet.servers {
-        server.end_after_event_at(FATAL.as_bytes());
+        server.crash_after_event_on(CRASH_BODY.as_bytes());
     }
     let statuses = fleet.repeat("/stream/x", REPEATS);
     fleet.check(&statuses);
@@ -182,7 +186,7 @@
 /// (issue 23).
 #[test]
 fn a_request_that_ends_servers_is_not_sent_on_and_on_while_the_store_is_away() {
-    let fleet = EndingFleet::start(instances());
+    let fleet = CrashFleet::start(instances());
     fleet.store.set_faults(StoreFaults {
         refuse: Some(503),
         ..StoreFaults::default()
@@ -195,12 +199,12 @@
 /// turn, and when all of it is killed (issue 23).
 #[test]
 fn a_request_that_ends_servers_is_not_sent_on_by_processes_that_start_later() {
-    let mut fleet = EndingFleet::start(3);
+    let mut fleet = CrashFleet::start(3);
     let mut statuses = fleet.repeat("/often/x", 12);
     for number in 0..3 {
         fleet.fronts[number].signal(Signal::SIGTERM);
         let _ended = fleet.fronts[number].wait(Duration::from_secs(12));
-        fleet.start_again(number);
+        fleet.restart(number);
         fleet.fronts[number].wait_ready();
     }
     statuses.extend(fleet.repeat("/often/x", 6));
@@ -208,7 +212,7 @@
         front.kill();
     }
     for number in 0..3 {
-        fleet.start_again(number);
+        fleet.restart(number);
     }
     for front in &fleet.fronts {
         front.wait_ready();
@@ -220,7 +224,7 @@
 /// Guards against callers that hold the same request at once (issue 23).
 #[test]
 fn a_request_of_several_callers_that_ends_servers_is_not_sent_on_and_on() {
-    let fleet = EndingFleet::start(instances());
+    let fleet = CrashFleet::start(instances());
     let statuses = thread::scope(|scope| {
         let callers: Vec<_> = (0..4)
             .map(|caller| {
@@ -228,7 +232,7 @@
                 scope.spawn(move || {
                     let mut statuses = Vec::new();
                     for number in 0..REPEATS {
-                        statuses.push(fleet.send(number * 4 + caller, "/often/x", FATAL));
+                        statuses.push(fleet.send(number * 4 + caller, "/often/x", CRASH_BODY));
                         thread::sleep(PAUSE);
                     }
                     statuses
@@ -247,7 +251,7 @@
 /// servers which end for other reasons (issue 23).
 #[test]
 fn a_popular_request_at_servers_that_end_together_is_still_served() {
-    let fleet = EndingFleet::start(instances());
+    let fleet = CrashFleet::start(instances());
     let stop = Instant::now() + Duration::from_secs(9);
     let served = thread::scope(|scope| {
         let lookups: Vec<_> = (0..6)
@@ -267,7 +271,7 @@
         for wave in 0..3 {
             thread::sleep(Duration::from_millis(1_900));
             for server in fleet.servers.iter().skip(wave).take(6) {
-                server.end();
+                server.crash();
             }
         }
         let joined = lookups
@@ -291,7 +295,7 @@
 /// ended (issue 23).
 #[test]
 fn a_request_at_servers_that_reset_single_answers_is_still_served() {
-    let fleet = EndingFleet::start(instances());
+    let fleet = CrashFleet::start(instances());
     for server in &fleet.servers {
         server.set_behaviour(BackendBehaviour::Reset);
     }
@@ -300,7 +304,7 @@
         assert!(status.starts_with('5'), "{status}");
     }
     for server in &fleet.servers {
-        server.set_behaviour(BackendBehaviour::Answer);
+        server.set_behaviour(BackendBehaviour::Respond);
     }
     for number in 0..30 {
         let status = fleet.send(number, "/often/x", "");
@@ -312,9 +316,9 @@
 /// (issue 23).
 #[test]
 fn servers_that_one_instance_found_ended_are_avoided_by_the_others() {
-    let fleet = EndingFleet::start(instances());
+    let fleet = CrashFleet::start(instances());
     for server in &fleet.servers[..6] {
-        server.end_for(Duration::from_secs(20));
+        server.crash_for(Duration::from_secs(20));
     }
     // Lines are gathered for 100 ms before they are written.
     let told = Duration::from_millis(500);
--- a/tests/testsuite/front/endless.rs
+++ b/tests/testsuite/front/endless.rs
@@ -25,7 +25,7 @@
 const READ_TIME: Duration = Duration::from_secs(10);
 
 /// What a caller got.
-struct ReadAnswer {
+struct ReadResponse {
     /// Its first bytes.
     head: String,
     bytes: usize,
@@ -36,14 +36,14 @@
 }
 
 /// Sends `request` and reads the answer, of which little is kept.
-fn read_answer(address: SocketAddr, request: &str) -> ReadAnswer {
+fn read_response(address: SocketAddr, request: &str) -> ReadResponse {
     let mut stream = TcpStream::connect(address).expect("a connection");
     let limit = Some(READ_TIME);
     stream.set_read_timeout(limit).expect("a time-out");
     stream
         .write_all(request.as_bytes())
         .expect("bytes are sent");
-    let mut answer = ReadAnswer {
+    let mut response = ReadResponse {
         head: String::new(),
         bytes: 0,
         ended: false,
@@ -51,23 +51,23 @@
     };
     let begun = Instant::now();
     let mut buffer = vec![0; 256 * 1024];
-    while answer.bytes < READ_LIMIT && begun.elapsed() < READ_TIME {
+    while response.bytes < READ_LIMIT && begun.elapsed() < READ_TIME {
         let Ok(read) = stream.read(&mut buffer) else {
             // A time-out, or a connection that was reset.
-            answer.ended = begun.elapsed() < READ_TIME;
+            response.ended = begun.elapsed() < READ_TIME;
             break;
         };
         if read == 0 {
-            answer.ended = true;
+            response.ended = true;
             break;
         }
-        if answer.head.is_empty() {
-            answer.head = String::from_utf8_lossy(&buffer[..read.min(64)]).into_owned();
+        if response.head.is_empty() {
+            response.head = String::from_utf8_lossy(&buffer[..read.min(64)]).into_owned();
         }
-        answer.bytes += read;
-        answer.tail = buffer[read.saturating_sub(8)..read].to_vec();
+        response.bytes += read;
+        response.tail = buffer[read.saturating_sub(8)..read].to_vec();
     }
-    answer
+    response
 }
 
 /// Fails when `server` sent more than the system's buffers hold.
@@ -88,13 +88,13 @@
     let platform = Platform::start();
     platform
         .plain
-        .set_behaviour(BackendBehaviour::Endless(EndlessBytes::Interim));
+        .set_behaviour(BackendBehaviour::Endless(EndlessBytes::InterimResponses));
     let callers = platform.front.ports.callers;
     thread::scope(|scope| {
         let mut bad = Vec::new();
         for number in 0..8 {
             let request = request("/once/x", &format!("id-bad-{number}"), "");
-            bad.push(scope.spawn(move || read_answer(callers, &request)));
+            bad.push(scope.spawn(move || read_response(callers, &request)));
         }
         for number in 0..10 {
             let short = request(
@@ -110,11 +110,11 @@
             assert!(sound.ends_with("0\r\n\r\n"), "{sound}");
         }
         for bad in bad {
-            let answer = bad.join().expect("a caller ends");
-            assert_eq!(status(&answer.head), "502", "{}", answer.head);
+            let response = bad.join().expect("a caller ends");
+            assert_eq!(status(&response.head), "502", "{}", response.head);
         }
     });
-    check_sent(&platform.plain, EndlessBytes::Interim);
+    check_sent(&platform.plain, EndlessBytes::InterimResponses);
 }
 
 /// Guards against a head or a body without end on a route that is no stream.
@@ -132,8 +132,13 @@
             .plain
             .set_behaviour(BackendBehaviour::Endless(bytes));
         let request = request("/once/x", "id-1", "");
-        let answer = read_answer(platform.front.ports.callers, &request);
-        assert_eq!(status(&answer.head), "502", "{bytes:?}: {}", answer.head);
+        let response = read_response(platform.front.ports.callers, &request);
+        assert_eq!(
+            status(&response.head),
+            "502",
+            "{bytes:?}: {}",
+            response.head
+        );
         check_sent(&platform.plain, bytes);
     }
 }
@@ -148,16 +153,20 @@
         EndlessBytes::Body,
         EndlessBytes::Chunks,
         EndlessBytes::Comments,
-        EndlessBytes::Drops,
+        EndlessBytes::SingleBytes,
     ] {
         let platform = Platform::start();
         platform
             .engine
             .set_behaviour(BackendBehaviour::Endless(bytes));
         let request = request("/stream/x", "id-1", "Token-Counts: 10,15\r\n");
-        let answer = read_answer(platform.front.ports.callers, &request);
-        assert!(answer.ended, "{bytes:?}: {} bytes and no end", answer.bytes);
-        assert!(!answer.tail.ends_with(b"0\r\n\r\n"), "{bytes:?}: whole");
+        let response = read_response(platform.front.ports.callers, &request);
+        assert!(
+            response.ended,
+            "{bytes:?}: {} bytes and no end",
+            response.bytes
+        );
+        assert!(!response.tail.ends_with(b"0\r\n\r\n"), "{bytes:?}: whole");
         check_sent(&platform.engine, bytes);
     }
 }
@@ -180,12 +189,12 @@
                 "Token-Counts: 10,15\r\n",
             );
             let request = request.replace("Deadline-Ms: 2500", "Deadline-Ms: 1000");
-            streams.push(scope.spawn(move || read_answer(callers, &request)));
+            streams.push(scope.spawn(move || read_response(callers, &request)));
         }
         for stream in streams {
-            let answer = stream.join().expect("a caller ends");
-            assert!(answer.ended, "{} bytes and no end", answer.bytes);
-            assert!(!answer.tail.ends_with(b"0\r\n\r\n"), "whole");
+            let response = stream.join().expect("a caller ends");
+            assert!(response.ended, "{} bytes and no end", response.bytes);
+            assert!(!response.tail.ends_with(b"0\r\n\r\n"), "whole");
         }
     });
 }
--- a/tests/testsuite/front/entries.rs
+++ b/tests/testsuite/front/entries.rs
@@ -53,8 +53,8 @@
 ) {
     let store = StoreStandin::start_for(INSTANCES);
     store.write("keyed.op", "config", config(1, PREPAID, "").as_bytes());
-    let leaving = BackendStandin::start(BackendBehaviour::Answer);
-    let staying = BackendStandin::start(BackendBehaviour::Answer);
+    let leaving = BackendStandin::start(BackendBehaviour::Respond);
+    let staying = BackendStandin::start(BackendBehaviour::Respond);
     write_server(&store, "i-leaving", "plain", &leaving, "ready");
     write_server(&store, "i-staying", "plain", &staying, "ready");
     write_all(&store, &staying);
@@ -71,13 +71,13 @@
 fn entries_that_are_written_unchanged_are_read_by_a_few_instances() {
     let (store, _leaving, staying, _fronts) = start();
     let topics = ["keyed.servers", "server-changes"];
-    let before = topics.map(|topic| store.handed_out(topic));
+    let before = topics.map(|topic| store.served_bytes(topic));
     let beats = 5;
     for _beat in 0..beats {
         write_all(&store, &staying);
         thread::sleep(BEAT);
     }
-    let after = topics.map(|topic| store.handed_out(topic));
+    let after = topics.map(|topic| store.served_bytes(topic));
     let [entries, news] = [after[0] - before[0], after[1] - before[1]];
     // An entry is more than 120 bytes, and was read by all before.
     let each = beats * SERVERS * 120;
@@ -108,8 +108,8 @@
         for (number, front) in others.iter().enumerate() {
             for attempt in 0..3 {
                 let id = format!("id-{number}-{attempt}");
-                let answer = front.call(&request("/often/x", &id, ""));
-                assert_eq!(status(&answer), "200", "{answer}");
+                let response = front.call(&request("/often/x", &id, ""));
+                assert_eq!(status(&response), "200", "{response}");
             }
         }
         let late = leaving.requests().len() - before;
--- a/tests/testsuite/front/fleet.rs
+++ b/tests/testsuite/front/fleet.rs
@@ -41,8 +41,8 @@
     /// `number`; whether it was served.
     fn is_served(&self, number: usize, id: &str, prompt: u64) -> bool {
         let more = format!("Token-Counts: {prompt},15\r\n");
-        let answer = self.fronts[number].call(&request("/stream/x", id, &more));
-        status(&answer) == "200"
+        let response = self.fronts[number].call(&request("/stream/x", id, &more));
+        status(&response) == "200"
     }
 }
 
--- a/tests/testsuite/front/forwarding.rs
+++ b/tests/testsuite/front/forwarding.rs
@@ -8,7 +8,7 @@
 use platform_standins::StoreStandin;
 use platform_standins::front::FrontPorts;
 
-use crate::front::POLL;
+use crate::front::POLL_INTERVAL;
 use crate::front::Platform;
 use crate::front::request;
 use crate::front::status;
@@ -17,13 +17,13 @@
 #[test]
 fn an_answer_passes_unchanged_and_the_server_is_told_what_it_needs() {
     let platform = Platform::start();
-    let answer = platform.call("/once/x?q=1", "id-1", "Tenant: forged\r\nX-Own: kept\r\n");
-    assert_eq!(status(&answer), "200", "{answer}");
+    let response = platform.call("/once/x?q=1", "id-1", "Tenant: forged\r\nX-Own: kept\r\n");
+    assert_eq!(status(&response), "200", "{response}");
     assert!(
-        answer.to_lowercase().contains("response-seal: seal-id-1"),
-        "{answer}"
+        response.to_lowercase().contains("response-seal: seal-id-1"),
+        "{response}"
     );
-    assert!(answer.ends_with("done"), "{answer}");
+    assert!(response.ends_with("done"), "{response}");
     let requests = platform.plain.requests();
     assert_eq!(requests.len(), 1);
     let seen = &requests[0];
@@ -49,7 +49,10 @@
         assert!(whole.contains(&format!("id: {number}\n")), "{whole}");
     }
     assert!(whole.ends_with("0\r\n\r\n"), "{whole}");
-    for behaviour in [BackendBehaviour::CutEvents, BackendBehaviour::GapInEvents] {
+    for behaviour in [
+        BackendBehaviour::TruncatedEvents,
+        BackendBehaviour::MissingEvent,
+    ] {
         platform.engine.set_behaviour(behaviour);
         let cut = platform.stream("id-2", 100, 30);
         assert!(cut.contains("id: 1\n"), "{behaviour:?}: {cut}");
@@ -80,9 +83,12 @@
     wait_for("the port", || {
         !front.call(&request("/once/x", "id-1", "")).is_empty()
     });
-    let answer = front.call(&request("/once/x", "id-1", ""));
-    assert_eq!(status(&answer), "503", "{answer}");
-    assert!(answer.to_lowercase().contains("retry-after: "), "{answer}");
+    let response = front.call(&request("/once/x", "id-1", ""));
+    assert_eq!(status(&response), "503", "{response}");
+    assert!(
+        response.to_lowercase().contains("retry-after: "),
+        "{response}"
+    );
     assert!(!front.is_ready());
 }
 
@@ -109,30 +115,30 @@
 #[test]
 fn a_promise_that_a_request_did_not_run_needs_the_servers_proof() {
     let rows = [
-        (BackendBehaviour::Answer, "200", "200"),
+        (BackendBehaviour::Respond, "200", "200"),
         (BackendBehaviour::Refuse, "503", "503"),
         (BackendBehaviour::RefuseWithoutProof, "502", "502"),
-        (BackendBehaviour::Crossed, "502", "502"),
+        (BackendBehaviour::WrongRequestId, "502", "502"),
         (BackendBehaviour::Unsigned, "502", "502"),
         (BackendBehaviour::Reset, "502", "502"),
         (BackendBehaviour::Fail, "500", "500"),
-        (BackendBehaviour::Unframed, "200", "200"),
+        (BackendBehaviour::CloseDelimited, "200", "200"),
     ];
     for (behaviour, once, often) in rows {
         let platform = Platform::start();
         platform.plain.set_behaviour(behaviour);
-        let answer = platform.call("/once/x", "id-1", "");
-        assert_eq!(status(&answer), once, "{behaviour:?}: {answer}");
+        let response = platform.call("/once/x", "id-1", "");
+        assert_eq!(status(&response), once, "{behaviour:?}: {response}");
         let runs = platform.plain.requests().len();
         assert_eq!(
             runs, 1,
             "{behaviour:?}: a call that may run once was sent {runs} times"
         );
-        let answer = platform.call("/often/x", "id-2", "");
-        assert_eq!(status(&answer), often, "{behaviour:?}: {answer}");
+        let response = platform.call("/often/x", "id-2", "");
+        assert_eq!(status(&response), often, "{behaviour:?}: {response}");
         assert!(
-            !answer.contains("theirs") && !answer.contains("unsigned"),
-            "{answer}"
+            !response.contains("theirs") && !response.contains("unsigned"),
+            "{response}"
         );
     }
 }
@@ -140,17 +146,17 @@
 #[test]
 fn a_call_that_may_be_repeated_goes_to_another_server() {
     let platform = Platform::start();
-    platform.add_second();
+    platform.add_second_server();
     for behaviour in [
         BackendBehaviour::Refuse,
         BackendBehaviour::Reset,
         BackendBehaviour::Fail,
-        BackendBehaviour::Crossed,
+        BackendBehaviour::WrongRequestId,
     ] {
         platform.plain.set_behaviour(behaviour);
         for number in 0..4 {
-            let answer = platform.call("/often/x", &format!("id-{number}"), "");
-            assert_eq!(status(&answer), "200", "{behaviour:?}: {answer}");
+            let response = platform.call("/often/x", &format!("id-{number}"), "");
+            assert_eq!(status(&response), "200", "{behaviour:?}: {response}");
         }
     }
 }
@@ -158,10 +164,12 @@
 #[test]
 fn bytes_after_an_answer_belong_to_no_request() {
     let platform = Platform::start();
-    platform.plain.set_behaviour(BackendBehaviour::Extra);
+    platform
+        .plain
+        .set_behaviour(BackendBehaviour::ExtraResponse);
     for number in 0..6 {
-        let answer = platform.call("/once/x", &format!("id-{number}"), "");
-        assert!(!answer.contains("theirs"), "{answer}");
+        let response = platform.call("/once/x", &format!("id-{number}"), "");
+        assert!(!response.contains("theirs"), "{response}");
     }
 }
 
@@ -169,9 +177,9 @@
 fn connections_to_servers_are_kept() {
     let platform = Platform::start();
     for number in 0..10 {
-        let answer = platform.call("/once/x", &format!("id-{number}"), "");
-        assert_eq!(status(&answer), "200", "{answer}");
-        thread::sleep(POLL);
+        let response = platform.call("/once/x", &format!("id-{number}"), "");
+        assert_eq!(status(&response), "200", "{response}");
+        thread::sleep(POLL_INTERVAL);
     }
     assert!(
         platform.plain.connections() <= 2,
--- a/tests/testsuite/front/lifetime.rs
+++ b/tests/testsuite/front/lifetime.rs
@@ -13,9 +13,9 @@
 use platform_standins::front::FrontPorts;
 use platform_standins::front::exchange;
 
-use crate::front::NEWS_LIMIT;
 use crate::front::PREPAID;
 use crate::front::Platform;
+use crate::front::UPDATE_LIMIT;
 use crate::front::config;
 use crate::front::request;
 use crate::front::status;
@@ -47,9 +47,9 @@
     assert!(taken < Duration::from_millis(4_500), "{taken:?}");
     let request = request("/often/x", "id-idle", "");
     idle.write_all(request.as_bytes()).expect("bytes are sent");
-    let mut answer = String::new();
-    idle.read_to_string(&mut answer).expect("an answer");
-    assert_eq!(status(&answer), "200", "{answer}");
+    let mut response = String::new();
+    idle.read_to_string(&mut response).expect("an answer");
+    assert_eq!(status(&response), "200", "{response}");
 }
 
 #[test]
@@ -63,8 +63,8 @@
     wait_for("version 2", || {
         status(&platform.call("/new/x", "id-1", "")) == "200"
     });
-    assert!(written.elapsed() < NEWS_LIMIT, "{:?}", written.elapsed());
-    platform.store.forget_history("keyed.op");
+    assert!(written.elapsed() < UPDATE_LIMIT, "{:?}", written.elapsed());
+    platform.store.expire_history("keyed.op");
     platform
         .store
         .write("keyed.op", "config", config(3, PREPAID, "").as_bytes());
@@ -84,7 +84,7 @@
 #[test]
 fn a_server_that_leaves_gets_nothing_new() {
     let platform = Platform::start();
-    platform.add_second();
+    platform.add_second_server();
     write_server(
         &platform.store,
         "i-plain",
@@ -92,15 +92,15 @@
         &platform.plain,
         "draining",
     );
-    thread::sleep(NEWS_LIMIT);
+    thread::sleep(UPDATE_LIMIT);
     let before = platform.plain.requests().len();
     for number in 0..8 {
-        let answer = platform.call("/once/x", &format!("id-{number}"), "");
-        assert_eq!(status(&answer), "200", "{answer}");
+        let response = platform.call("/once/x", &format!("id-{number}"), "");
+        assert_eq!(status(&response), "200", "{response}");
     }
     assert_eq!(platform.plain.requests().len(), before);
     platform.store.write("keyed.servers", "i-second", b"");
-    thread::sleep(NEWS_LIMIT);
+    thread::sleep(UPDATE_LIMIT);
     assert_eq!(status(&platform.call("/once/x", "id-9", "")), "503");
 }
 
@@ -125,10 +125,10 @@
     platform.front.signal(Signal::SIGTERM);
     wait_for("the end of readiness", || !platform.front.is_ready());
     for stream in streams {
-        let answer = stream.join().expect("the caller ends");
+        let response = stream.join().expect("the caller ends");
         assert!(
-            answer.contains("id: 119\n") && answer.ends_with("0\r\n\r\n"),
-            "{answer}"
+            response.contains("id: 119\n") && response.ends_with("0\r\n\r\n"),
+            "{response}"
         );
     }
     let ended = platform
@@ -154,5 +154,5 @@
     other.kill();
     let killed = Instant::now();
     wait_for("its end", || !addresses().contains(&second));
-    assert!(killed.elapsed() < NEWS_LIMIT, "{:?}", killed.elapsed());
+    assert!(killed.elapsed() < UPDATE_LIMIT, "{:?}", killed.elapsed());
 }
--- a/tests/testsuite/front/operations.rs
+++ b/tests/testsuite/front/operations.rs
@@ -86,8 +86,8 @@
     thread::sleep(Duration::from_millis(1_500));
     let refused = (0..20).find_map(|number| {
         let id = format!("id-refused-{number}");
-        let answer = platform.stream(&id, 9_000, 15);
-        (status(&answer) == "503").then_some(id)
+        let response = platform.stream(&id, 9_000, 15);
+        (status(&response) == "503").then_some(id)
     });
     let refused = refused.expect("the holding ends");
     let shown = timeline(&platform, &["--request", &refused]);
@@ -98,14 +98,16 @@
     assert!(all.contains(lost), "{all}");
     // A stream broken midway: its server breaks off.
     platform.store.set_faults(StoreFaults::default());
-    platform.engine.set_behaviour(BackendBehaviour::CutEvents);
+    platform
+        .engine
+        .set_behaviour(BackendBehaviour::TruncatedEvents);
     thread::sleep(Duration::from_millis(1_500));
     platform.stream("id-broken", 50, 15);
     let shown = timeline(&platform, &["--request", "id-broken"]);
     assert!(shown.contains("HS4201 answer broken off"), "{shown}");
     assert!(shown.contains("server=i-engine"), "{shown}");
     // A late answer: the first server that was tried broke off.
-    platform.add_second();
+    platform.add_second_server();
     platform.plain.set_behaviour(BackendBehaviour::Reset);
     let late = (0..20).find_map(|number| {
         let id = format!("id-late-{number}");
--- a/tests/testsuite/front/soak.rs
+++ b/tests/testsuite/front/soak.rs
@@ -24,8 +24,8 @@
 
 use crate::front::PREPAID;
 use crate::front::config;
-use crate::front::ending::EndingFleet;
-use crate::front::ending::FATAL;
+use crate::front::ending::CRASH_BODY;
+use crate::front::ending::CrashFleet;
 use crate::front::status;
 
 /// Seeds of the test; one that ever failed is added, with a line on the cause.
@@ -41,7 +41,7 @@
 /// Callers that send a request of their own each time.
 const CALLERS: usize = 4;
 /// Time for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A caller's connection, used until its instance ends it.
 struct CallerLink {
@@ -50,7 +50,7 @@
 }
 
 /// What a caller got for one request.
-struct CallerAnswer {
+struct CallerResponse {
     id: String,
     path: &'static str,
     /// Head and body as far as they came.
@@ -59,7 +59,7 @@
 
 impl CallerLink {
     /// Sends a request and reads its answer.
-    fn call(&mut self, path: &'static str, id: &str, body: &str) -> CallerAnswer {
+    fn call(&mut self, path: &'static str, id: &str, body: &str) -> CallerResponse {
         let request = format!(
             "POST {path} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 2000\r\nAuthorization: Bearer key-a\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -69,7 +69,7 @@
         if !is_whole(&text) || text.to_lowercase().contains("connection: close") {
             self.stream = None;
         }
-        CallerAnswer {
+        CallerResponse {
             id: id.to_owned(),
             path,
             text,
@@ -78,21 +78,21 @@
 
     fn exchange(&mut self, request: &str) -> Option<String> {
         if self.stream.is_none() {
-            let stream = TcpStream::connect_timeout(&self.front, ANSWER_LIMIT).ok()?;
-            stream.set_read_timeout(Some(ANSWER_LIMIT)).ok()?;
+            let stream = TcpStream::connect_timeout(&self.front, RESPONSE_TIMEOUT).ok()?;
+            stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
             self.stream = Some(stream);
         }
         let stream = self.stream.as_mut()?;
         stream.write_all(request.as_bytes()).ok()?;
-        let mut answer = Vec::new();
+        let mut response = Vec::new();
         let mut buffer = [0; 4_096];
-        while !is_whole(&String::from_utf8_lossy(&answer)) {
+        while !is_whole(&String::from_utf8_lossy(&response)) {
             match stream.read(&mut buffer) {
-                Ok(count) if count > 0 => answer.extend_from_slice(&buffer[..count]),
+                Ok(count) if count > 0 => response.extend_from_slice(&buffer[..count]),
                 _ended => break,
             }
         }
-        Some(String::from_utf8_lossy(&answer).into_owned())
+        Some(String::from_utf8_lossy(&response).into_owned())
     }
 }
 
@@ -113,24 +113,24 @@
     number: usize,
     seed: u64,
     stop: &AtomicBool,
-) -> Vec<CallerAnswer> {
+) -> Vec<CallerResponse> {
     let mut rng = Rng::with_seed(seed.wrapping_mul(31) + number as u64);
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     let mut link = CallerLink {
         stream: None,
         front: fronts[number % fronts.len()],
     };
     while !stop.load(Ordering::Relaxed) {
         let path = if rng.bool() { "/once/x" } else { "/often/x" };
-        let id = format!("id-{number}-{}", answers.len());
-        let answer = link.call(path, &id, &format!("body of {id}"));
+        let id = format!("id-{number}-{}", responses.len());
+        let response = link.call(path, &id, &format!("body of {id}"));
         if link.stream.is_none() {
             link.front = fronts[rng.usize(..fronts.len())];
         }
-        answers.push(answer);
+        responses.push(response);
         thread::sleep(Duration::from_millis(rng.u64(1..30)));
     }
-    answers
+    responses
 }
 
 /// Sends the fatal request again and again until `stop`.
@@ -142,13 +142,13 @@
             front: fronts[rng.usize(..fronts.len())],
         };
         let path = "/often/x";
-        let _answer = link.call(path, &format!("fatal-{:x}", rng.u64(..)), FATAL);
+        let _answer = link.call(path, &format!("fatal-{:x}", rng.u64(..)), CRASH_BODY);
         thread::sleep(Duration::from_millis(rng.u64(200..900)));
     }
 }
 
 /// One fault, often while a server or the store is in trouble.
-fn make_fault(fleet: &mut EndingFleet, rng: &mut Rng, version: u64) {
+fn make_fault(fleet: &mut CrashFleet, rng: &mut Rng, version: u64) {
     let beside = rng.usize(..fleet.servers.len());
     match rng.u8(..4) {
         0 => fleet.servers[beside].set_behaviour(BackendBehaviour::Reset),
@@ -163,25 +163,25 @@
         _ => {}
     }
     make_main_fault(fleet, rng);
-    fleet.servers[beside].set_behaviour(BackendBehaviour::Answer);
+    fleet.servers[beside].set_behaviour(BackendBehaviour::Respond);
     fleet.store.set_faults(StoreFaults::default());
 }
 
 /// One fault, some of which last.
-fn make_main_fault(fleet: &mut EndingFleet, rng: &mut Rng) {
+fn make_main_fault(fleet: &mut CrashFleet, rng: &mut Rng) {
     let front = rng.usize(..fleet.fronts.len());
     let server = rng.usize(..fleet.servers.len());
     let pause = Duration::from_millis(rng.u64(100..1_200));
-    let set = |fleet: &EndingFleet, behaviour| {
+    let set = |fleet: &CrashFleet, behaviour| {
         fleet.servers[server].set_behaviour(behaviour);
         thread::sleep(pause);
-        fleet.servers[server].set_behaviour(BackendBehaviour::Answer);
+        fleet.servers[server].set_behaviour(BackendBehaviour::Respond);
     };
     match rng.u8(..10) {
         0 => {
             fleet.fronts[front].kill();
             thread::sleep(pause);
-            fleet.start_again(front);
+            fleet.restart(front);
         }
         1 => {
             fleet.fronts[front].signal(Signal::SIGSTOP);
@@ -192,17 +192,20 @@
             fleet.fronts[front].signal(Signal::SIGTERM);
             let ended = fleet.fronts[front].wait(Duration::from_secs(12));
             assert!(ended.is_some(), "a planned stop does not end");
-            fleet.start_again(front);
+            fleet.restart(front);
         }
         3 => {
             for server in &fleet.servers[..rng.usize(1..5)] {
-                server.end();
+                server.crash();
             }
         }
         4 => set(fleet, BackendBehaviour::Reset),
-        5 => set(fleet, BackendBehaviour::Extra),
-        6 => set(fleet, BackendBehaviour::Crossed),
-        7 => set(fleet, BackendBehaviour::Endless(EndlessBytes::Interim)),
+        5 => set(fleet, BackendBehaviour::ExtraResponse),
+        6 => set(fleet, BackendBehaviour::WrongRequestId),
+        7 => set(
+            fleet,
+            BackendBehaviour::Endless(EndlessBytes::InterimResponses),
+        ),
         8 => {
             fleet.store.set_faults(StoreFaults {
                 refuse: Some(503),
@@ -223,18 +226,18 @@
 }
 
 /// Checks what each caller got against what the servers saw.
-fn check_answers(fleet: &EndingFleet, answers: &[CallerAnswer], seed: u64) {
+fn check_responses(fleet: &CrashFleet, responses: &[CallerResponse], seed: u64) {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for request in fleet.servers.iter().flat_map(|server| server.requests()) {
         let id = request.header("request-id").unwrap_or_default().to_owned();
         *runs.entry(id).or_default() += 1;
     }
     let mut served = 0;
-    for answer in answers {
-        let id = &answer.id;
+    for response in responses {
+        let id = &response.id;
         let run = runs.get(id).copied().unwrap_or_default();
-        let status = status(&answer.text);
-        if answer.path == "/once/x" {
+        let status = status(&response.text);
+        if response.path == "/once/x" {
             assert!(run <= 1, "seed {seed}: {id} ran {run} times");
             if status == "503" {
                 assert_eq!(run, 0, "seed {seed}: {id} ran and was refused as not run");
@@ -244,28 +247,28 @@
             continue;
         }
         served += 1;
-        let text = answer.text.to_lowercase();
+        let text = response.text.to_lowercase();
         assert!(
             text.contains(&format!("response-seal: seal-{id}\r\n")) && text.ends_with("done"),
             "seed {seed}: {id} got {}",
-            answer.text
+            response.text
         );
     }
-    println!("seed {seed}: {} requests, {served} served", answers.len());
+    println!("seed {seed}: {} requests, {served} served", responses.len());
     assert!(served > 0, "seed {seed}: nothing was served");
 }
 
 /// Faults in a row, then a calm time in which all must be well.
 fn run(seed: u64) {
     let mut rng = Rng::with_seed(seed);
-    let mut fleet = EndingFleet::start(INSTANCES);
+    let mut fleet = CrashFleet::start(INSTANCES);
     let fronts: Vec<_> = fleet
         .fronts
         .iter()
         .map(|front| front.ports.callers)
         .collect();
     let stop = AtomicBool::new(false);
-    let answers = thread::scope(|scope| {
+    let responses = thread::scope(|scope| {
         let (fronts, stop) = (&fronts[..], &stop);
         let callers: Vec<_> = (0..CALLERS)
             .map(|number| scope.spawn(move || own_requests(fronts, number, seed, stop)))
@@ -281,25 +284,25 @@
         stop.store(true, Ordering::Relaxed);
         let joined = callers.into_iter().map(|caller| caller.join());
         joined
-            .flat_map(|answers| answers.expect("a caller ends"))
+            .flat_map(|responses| responses.expect("a caller ends"))
             .collect::<Vec<_>>()
     });
-    check_answers(&fleet, &answers, seed);
+    check_responses(&fleet, &responses, seed);
     for front in &fleet.fronts {
         front.wait_ready();
     }
     thread::sleep(CALM_TIME);
-    let ended = fleet.ends().len();
+    let ended = fleet.crash_times().len();
     let before: usize = fleet
         .servers
         .iter()
-        .map(|server| server.fatal_arrivals().len())
+        .map(|server| server.trigger_arrivals().len())
         .sum();
     let statuses = fleet.repeat("/often/x", 10);
     let after: usize = fleet
         .servers
         .iter()
-        .map(|server| server.fatal_arrivals().len())
+        .map(|server| server.trigger_arrivals().len())
         .sum();
     println!(
         "seed {seed}: {ended} ends, {before} fatal requests at servers, then {}: {statuses:?}",
--- a/tests/testsuite/front/troubles.rs
+++ b/tests/testsuite/front/troubles.rs
@@ -13,8 +13,8 @@
 
 use nix::sys::signal::Signal;
 use platform_standins::BackendBehaviour;
-use platform_standins::EarlyEnd;
 use platform_standins::FrontProcess;
+use platform_standins::TruncatedFraming;
 
 use crate::front::Platform;
 use crate::front::request;
@@ -35,7 +35,7 @@
         let pause = Duration::from_millis(pause);
         platform
             .plain
-            .set_behaviour(BackendBehaviour::Repeated(pause));
+            .set_behaviour(BackendBehaviour::DuplicateResponse(pause));
         let platform = &platform;
         thread::scope(|scope| {
             for caller in 0..CALLERS {
@@ -47,13 +47,13 @@
                         } else {
                             "/often/x"
                         };
-                        let answer = platform.call(path, &id, "");
-                        let own = answer.ends_with(&format!("for {id}"));
+                        let response = platform.call(path, &id, "");
+                        let own = response.ends_with(&format!("for {id}"));
                         assert!(
-                            own || !answer.contains("for id-"),
-                            "{id} got another's: {answer}"
+                            own || !response.contains("for id-"),
+                            "{id} got another's: {response}"
                         );
-                        assert!(own || status(&answer) == "502", "{id}: {answer}");
+                        assert!(own || status(&response) == "502", "{id}: {response}");
                     }
                 });
             }
@@ -78,9 +78,9 @@
     Cut(String),
 }
 
-/// Whether `answer` is whole.
-fn is_whole(answer: &str) -> bool {
-    let Some((head, body)) = answer.split_once("\r\n\r\n") else {
+/// Whether `response` is whole.
+fn is_whole(response: &str) -> bool {
+    let Some((head, body)) = response.split_once("\r\n\r\n") else {
         return false;
     };
     let head = head.to_lowercase();
@@ -95,24 +95,29 @@
 /// Sends `text` on `stream` and reads one answer.
 fn exchange_on(stream: &mut TcpStream, text: &str) -> CallOutcome {
     let _limit = stream.set_read_timeout(Some(Duration::from_secs(10)));
-    let mut answer = String::new();
+    let mut response = String::new();
     if stream.write_all(text.as_bytes()).is_err() {
-        return CallOutcome::Cut(answer);
+        return CallOutcome::Cut(response);
     }
     let mut buffer = [0; 4_096];
-    while !is_whole(&answer) {
+    while !is_whole(&response) {
         match stream.read(&mut buffer) {
             Ok(count) if count > 0 => {
-                answer.push_str(&String::from_utf8_lossy(&buffer[..count]));
+                response.push_str(&String::from_utf8_lossy(&buffer[..count]));
             }
-            _ended => return CallOutcome::Cut(answer),
+            _ended => return CallOutcome::Cut(response),
         }
     }
-    CallOutcome::Whole(answer)
+    CallOutcome::Whole(response)
 }
 
 /// Sends requests, each on a connection of its own, until `stop`.
-fn call_anew(callers: SocketAddr, path: &str, name: &str, stop: &AtomicBool) -> Vec<CallOutcome> {
+fn call_on_new_connections(
+    callers: SocketAddr,
+    path: &str,
+    name: &str,
+    stop: &AtomicBool,
+) -> Vec<CallOutcome> {
     let mut outcomes = Vec::new();
     for number in 0.. {
         if stop.load(Ordering::Relaxed) {
@@ -141,7 +146,7 @@
     let platform = Platform::start();
     platform
         .plain
-        .set_behaviour(BackendBehaviour::Repeated(PAUSE));
+        .set_behaviour(BackendBehaviour::DuplicateResponse(PAUSE));
     for path in ["/once/x", "/often/x"] {
         for number in 0..5 {
             let mut stream = TcpStream::connect(platform.front.ports.callers).expect("a caller");
@@ -159,18 +164,26 @@
             let mut second = call(&id);
             thread::sleep(PAUSE + Duration::from_millis(100));
             platform.front.signal(Signal::SIGCONT);
-            let CallOutcome::Whole(answer) = exchange_on(&mut second, "") else {
+            let CallOutcome::Whole(response) = exchange_on(&mut second, "") else {
                 panic!("{path} {id}: no whole answer");
             };
-            assert_eq!(status(&answer), "200", "{path} {id}: {answer}");
-            assert!(answer.ends_with(&format!("for {id}")), "{path}: {answer}");
+            assert_eq!(status(&response), "200", "{path} {id}: {response}");
+            assert!(
+                response.ends_with(&format!("for {id}")),
+                "{path}: {response}"
+            );
         }
     }
 }
 
-/// As [`call_anew`], on kept connections; the ids of requests without a whole
+/// As [`call_on_new_connections`], on kept connections; the ids of requests without a whole
 /// answer.
-fn call_kept(callers: SocketAddr, path: &str, name: &str, stop: &AtomicBool) -> Vec<String> {
+fn call_on_kept_connections(
+    callers: SocketAddr,
+    path: &str,
+    name: &str,
+    stop: &AtomicBool,
+) -> Vec<String> {
     let mut cut = Vec::new();
     let mut kept: Option<TcpStream> = None;
     for number in 0.. {
@@ -185,7 +198,9 @@
         let text =
             request(path, &id, "Token-Counts: 10,15\r\n").replace("Connection: close\r\n", "");
         match exchange_on(&mut stream, &text) {
-            CallOutcome::Whole(answer) if !answer.to_lowercase().contains("connection: close") => {
+            CallOutcome::Whole(response)
+                if !response.to_lowercase().contains("connection: close") =>
+            {
                 kept = Some(stream);
             }
             CallOutcome::Whole(_) | CallOutcome::NotConnected => {}
@@ -207,13 +222,17 @@
         let anew: Vec<_> = (0..CALLERS)
             .map(|number| {
                 let path = ["/once/x", "/often/x", "/stream/x"][number % 3];
-                scope.spawn(move || call_anew(callers, path, &format!("new-{number}"), stop))
+                scope.spawn(move || {
+                    call_on_new_connections(callers, path, &format!("new-{number}"), stop)
+                })
             })
             .collect();
         let kept: Vec<_> = (0..CALLERS)
             .map(|number| {
                 let path = ["/once/x", "/often/x", "/stream/x"][number % 3];
-                scope.spawn(move || call_kept(callers, path, &format!("kept-{number}"), stop))
+                scope.spawn(move || {
+                    call_on_kept_connections(callers, path, &format!("kept-{number}"), stop)
+                })
             })
             .collect();
         thread::sleep(Duration::from_millis(700));
@@ -302,8 +321,8 @@
     platform.front.signal(Signal::SIGCONT);
     let mut spent = 1_000 + 15;
     for number in 0.. {
-        let answer = platform.stream(&format!("id-more-{number}"), 9_000, 15);
-        if status(&answer) != "200" {
+        let response = platform.stream(&format!("id-more-{number}"), 9_000, 15);
+        if status(&response) != "200" {
             break;
         }
         spent += 9_000 + 15;
@@ -333,8 +352,11 @@
         thread::sleep(Duration::from_millis(1_300));
         platform.front.signal(Signal::SIGCONT);
         for stream in streams {
-            let answer = stream.join().expect("a caller ends");
-            assert!(answer.contains("id: 11\n") && is_whole(&answer), "{answer}");
+            let response = stream.join().expect("a caller ends");
+            assert!(
+                response.contains("id: 11\n") && is_whole(&response),
+                "{response}"
+            );
         }
     });
     assert_eq!(platform.engine.requests().len(), 4);
@@ -345,18 +367,22 @@
 /// way in which its end is told.
 #[test]
 fn an_answer_that_ends_early_never_looks_whole() {
-    for end in [EarlyEnd::Length, EarlyEnd::Chunks, EarlyEnd::Connection] {
+    for end in [
+        TruncatedFraming::Length,
+        TruncatedFraming::Chunks,
+        TruncatedFraming::Connection,
+    ] {
         let platform = Platform::start();
         for (server, name) in [(&platform.engine, "engine"), (&platform.plain, "plain")] {
-            server.set_behaviour(BackendBehaviour::Early(end));
+            server.set_behaviour(BackendBehaviour::Truncated(end));
             write_server(&platform.store, &format!("i-{name}"), name, server, "ready");
         }
         let stream = platform.stream("id-1", 10, 60);
         assert!(stream.contains("id: 1\n"), "{end:?}: {stream}");
         assert!(!stream.ends_with("0\r\n\r\n"), "{end:?}: {stream}");
         for path in ["/once/x", "/often/x"] {
-            let answer = platform.call(path, "id-2", "");
-            assert_eq!(status(&answer), "502", "{end:?} {path}: {answer}");
+            let response = platform.call(path, "id-2", "");
+            assert_eq!(status(&response), "502", "{end:?} {path}: {response}");
         }
         assert_eq!(platform.engine.requests().len(), 1);
     }
@@ -367,10 +393,10 @@
 #[test]
 fn a_request_at_the_only_server_is_not_given_up_while_that_is_silent() {
     let platform = Platform::start();
-    let late = BackendBehaviour::Late(Duration::from_millis(1_200));
+    let late = BackendBehaviour::Delayed(Duration::from_millis(1_200));
     platform.plain.set_behaviour(late);
-    let answer = platform.call("/often/x", "id-1", "");
-    assert_eq!(status(&answer), "200", "{answer}");
-    assert!(answer.ends_with("for id-1"), "{answer}");
+    let response = platform.call("/often/x", "id-1", "");
+    assert_eq!(status(&response), "200", "{response}");
+    assert!(response.ends_with("for id-1"), "{response}");
     assert_eq!(platform.plain.requests().len(), 1);
 }
