--- a/crates/hibiscus-front/src/append.rs
+++ b/crates/hibiscus-front/src/append.rs
@@ -1,4 +1,4 @@
-//! The thread that appends account records.
+//! The thread that appends account records to the metadata store.
 
 use std::sync::mpsc::Receiver;
 use std::thread;
@@ -19,21 +19,22 @@
 use platform::records::StoreLimits;
 use platform::store::StoreClient;
 
-/// Batches that wait for the thread.
+/// Capacity of the queue of batches to this thread.
 pub(crate) const QUEUE_CAPACITY: usize = 64;
-/// Time for which records are gathered into one append, so that a burst of
-/// draws costs one call.
+/// Time to collect further records for one append, so that a burst of draws takes
+/// one call.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
-/// First pause after a failed append.
+/// Delay before the first retry of an append.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest pause after failed appends.
+/// Longest delay before a retry of an append.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Appends what comes over `batches` until its sender is dropped. Each append
-/// is repeated until the store acknowledges it: copies change nothing.
+/// Appends the received batches until the sender is dropped. Each append of
+/// account records is retried until the store acknowledges it; the records are
+/// idempotent.
 ///
-/// The next append begins only after the one before was acknowledged, so the
-/// store shows them in order.
+/// An append starts only after the previous one was acknowledged, so the store
+/// holds the records in order.
 pub(crate) fn run(
     store: &StoreClient,
     limits: StoreLimits,
@@ -59,8 +60,8 @@
     }
 }
 
-/// Appends `records` to the stream, however often it takes; returns the offset
-/// after them.
+/// Appends `records` to the account stream with retries; returns the offset after
+/// them.
 fn append_records(
     store: &StoreClient,
     limits: StoreLimits,
@@ -83,8 +84,7 @@
     end
 }
 
-/// Appends the records of one call, however often it takes; returns the offset
-/// after them.
+/// Appends the records of one call with retries; returns the offset after them.
 fn append_call(store: &StoreClient, records: &[Vec<u8>]) -> u64 {
     let mut pause = MIN_RETRY_DELAY;
     loop {
@@ -97,8 +97,8 @@
     }
 }
 
-/// Appends `snapshots`, each call once: the next ones come in time, and the
-/// account records must not wait for these.
+/// Appends `snapshots` without retries: newer snapshots follow, and account
+/// records must not wait for snapshots.
 fn append_snapshots(store: &StoreClient, limits: StoreLimits, snapshots: &[AccountSnapshot]) {
     let mut encoded = Vec::with_capacity(snapshots.len());
     for snapshot in snapshots {
--- a/crates/hibiscus-front/src/cli.rs
+++ b/crates/hibiscus-front/src/cli.rs
@@ -12,12 +12,13 @@
 
 use crate::serve;
 
-/// Exit code when the settings cannot be used.
+/// Exit code if the settings cannot be read or decoded.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// Exit code when a port cannot be opened.
+/// Exit code if the daemon fails to start, for example because a port cannot be
+/// opened.
 const EXIT_START_FAILED: u8 = 3;
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Clone, Debug)]
 pub(crate) struct FrontCommand {
     check: bool,
@@ -25,15 +26,15 @@
     log: String,
 }
 
-/// The parser of the command line.
+/// Returns the parser of the command line.
 pub(crate) fn cli() -> OptionParser<FrontCommand> {
     let check = long("check").help("Check the settings and exit").switch();
     let settings = long("settings")
-        .help("Settings file, if not the one that the platform names")
+        .help("Settings file; overrides the path from the platform")
         .argument::<PathBuf>("FILE")
         .optional();
     let log = long("log")
-        .help("Least level of the log: error, warn, info or debug")
+        .help("Minimum log level: error, warn, info or debug")
         .argument::<String>("LEVEL")
         .fallback("info".to_owned());
     construct!(FrontCommand {
@@ -43,11 +44,11 @@
     })
     .to_options()
     .descr("Routes requests within prepaid token budgets, on the users' platform")
-    .footer("Exit codes: 0 stopped as planned or settings correct, 1 command line faulty, 2 settings faulty, 3 a port cannot be opened")
+    .footer("Exit codes: 0 graceful shutdown or valid settings, 1 invalid command line, 2 invalid settings, 3 a port cannot be opened")
     .version(env!("CARGO_PKG_VERSION"))
 }
 
-/// Runs the daemon until a signal stops it.
+/// Runs the daemon until it has shut down after a signal.
 pub(crate) fn exec(command: &FrontCommand) -> ExitCode {
     let log = match hibiscus_events::logging::start_stdout(&command.log) {
         Ok(log) => log,
@@ -61,7 +62,7 @@
     code
 }
 
-/// Reads the settings and serves.
+/// Loads the settings, and runs the daemon unless only a check is requested.
 fn start(command: &FrontCommand) -> ExitCode {
     let path = command.settings.clone();
     let path = path.unwrap_or_else(settings::settings_path);
@@ -84,7 +85,7 @@
     }
 }
 
-/// Prints an error with its causes.
+/// Prints an error and its causes to standard error.
 fn report(error: &dyn Error) {
     eprintln!("error: {error}");
     let mut cause = error.source();
--- a/crates/hibiscus-front/src/config.rs
+++ b/crates/hibiscus-front/src/config.rs
@@ -1,12 +1,13 @@
 //! Follows the configuration that the operators publish.
 //!
-//! A few instances ([`hibiscus_traffic::relays`]) wait for records of the
-//! operators' topic and read each version whole. They publish what differs from
-//! the version before in a topic of the fleet, which all instances follow
-//! ([`deltas`]). An instance that finds the operators' topic ahead of what it
-//! holds, and gets no change in time, reads the newest version itself
-//! ([`operators`]), so nobody depends on another. Both threads put what they
-//! have on the [`shared`], which only goes forward.
+//! A few instances, the relays ([`hibiscus_traffic::relays`]), wait for records
+//! in the operators' topic and read each version in full. They publish the
+//! difference to the previous version as a delta in a topic of the fleet, which
+//! all instances follow ([`deltas`]). If the operators' topic is ahead of an
+//! instance's configuration and no delta arrives in time, the instance reads the
+//! newest version itself ([`operators`]), so no instance depends on another. The
+//! two threads share the configuration in [`shared`], which never goes back to
+//! an older version.
 
 mod deltas;
 mod operators;
@@ -20,20 +21,20 @@
 pub(crate) use crate::config::shared::SharedConfig;
 use crate::relay::RelayRole;
 
-/// Topic of the changes.
+/// Topic of the configuration deltas.
 const DELTAS_TOPIC: &str = "config-changes";
 
-/// Follows the operators' topic.
+/// Follows the operators' topic for as long as the process runs.
 pub(crate) fn follow_operators(store: &StoreClient, shared: &Arc<SharedConfig>) {
     operators::OperatorsReader::new(store, shared).run();
 }
 
-/// Follows the changes that other instances publish.
+/// Follows the configuration deltas for as long as the process runs.
 pub(crate) fn follow_deltas(store: &StoreClient, shared: &Arc<SharedConfig>) {
     deltas::follow(store, shared);
 }
 
-/// A board that tells `updates` what comes into force.
-pub(crate) fn shared(updates: UpdateSender, role: Arc<RelayRole>) -> Arc<SharedConfig> {
+/// Creates the shared configuration, which reports new versions to `updates`.
+pub(crate) fn new_shared(updates: UpdateSender, role: Arc<RelayRole>) -> Arc<SharedConfig> {
     Arc::new(SharedConfig::new(updates, role))
 }
--- a/crates/hibiscus-front/src/config/deltas.rs
+++ b/crates/hibiscus-front/src/config/deltas.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration as instances publish them.
+//! Reads and publishes configuration deltas in the fleet's topic.
 
 use std::thread;
 use std::time::Duration;
@@ -19,15 +19,15 @@
 use crate::topic_monitor::RETRY_DELAY;
 use crate::topic_monitor::TopicMonitor;
 
-/// Attempts to publish one change; another instance does it otherwise, or all
-/// read the version themselves.
+/// Attempts to publish a delta. After them, another instance publishes it or all
+/// instances read the version themselves.
 const ATTEMPTS: usize = 3;
-/// Time in which a record that another instance appended is read.
+/// Time to wait for a record that another instance appended.
 const READ_TIME: Duration = Duration::from_millis(200);
 
-/// Applies the changes that come from now on to what `shared` holds. Those of
-/// before are in the version that this process began with, or it reads another
-/// one.
+/// Reads deltas from the current end of the topic on and applies them to
+/// `shared`. Older deltas are included in the version that this process reads
+/// from the operators' topic at its start.
 pub(super) fn follow(store: &StoreClient, shared: &SharedConfig) {
     let mut monitor = TopicMonitor::default();
     let mut assembler = ChangeAssembler::default();
@@ -61,8 +61,8 @@
     }
 }
 
-/// Applies the changes of a page that begins at `from`; returns the offset
-/// after it.
+/// Applies the deltas of a page that begins at offset `from`; returns the offset
+/// after the page.
 fn apply(
     read: &StoreRead,
     from: u64,
@@ -91,7 +91,7 @@
     next
 }
 
-/// Publishes `change`, unless another instance does so first.
+/// Publishes a delta, unless another instance publishes it first.
 pub(super) fn publish(store: &StoreClient, shared: &SharedConfig, change: &ConfigChange) {
     let records = match change.to_records() {
         Ok(records) => records,
@@ -128,7 +128,10 @@
             return;
         }
     }
-    let cause = failure.map_or_else(|| "others append".to_owned(), |error| error.to_string());
+    let cause = failure.map_or_else(
+        || "other instances append to the topic".to_owned(),
+        |error| error.to_string(),
+    );
     event!(
         EventCode::ChangeNotPublished,
         "version={} cause={cause}",
--- a/crates/hibiscus-front/src/config/operators.rs
+++ b/crates/hibiscus-front/src/config/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' topic.
+//! Reads the operators' topic.
 
 use std::sync::Arc;
 use std::thread;
@@ -21,17 +21,17 @@
 
 use crate::config::SharedConfig;
 use crate::config::deltas;
-use crate::config::shared::CurrentConfig;
+use crate::config::shared::PositionedConfig;
 use crate::topic_monitor::RETRY_DELAY;
 use crate::topic_monitor::TopicMonitor;
 
-/// Pause between two looks at the end of the topic: with the time for a change
-/// and for the transfer of a version, one is in force within 3 s.
+/// Interval between two checks of the end of the topic: with the wait for a
+/// delta and the transfer of a version, a version is in force within 3 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Time that the first relay waits for a change of another instance before it
-/// reads a version itself, after it has lost touch.
+/// Time that the first relay waits for a delta of another instance before it
+/// reads a version itself, after it has fallen behind.
 const DELTA_WAIT: Duration = Duration::from_millis(200);
-/// Time by which each further relay, and then all other instances, wait longer.
+/// Additional wait of each further relay, and after them of all other instances.
 const RELAY_STAGGER: Duration = Duration::from_millis(200);
 
 /// Reads the operators' topic for one instance.
@@ -39,7 +39,7 @@
     store: &'a StoreClient,
     shared: &'a SharedConfig,
     monitor: TopicMonitor,
-    /// Whether the last call showed that nothing newer is to be had.
+    /// Whether the last call found no newer record.
     up_to_date: bool,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Waits for records from `position` on.
+    /// Waits for records from offset `position` on.
     fn wait_for_record(&mut self, position: u64) -> Result<()> {
         let wait = self.monitor.wait();
         match self.store.read(config::TOPIC, position, wait) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Looks whether the topic goes beyond `position`, and reads the newest
-    /// version if no change brings it in time.
+    /// Checks whether the topic has records after `position`, and reads the newest
+    /// version unless a delta leads to it in time.
     fn check_end(&mut self, position: Option<u64>) -> Result<()> {
         let end = self.store.end(config::TOPIC)?;
         let Some(position) = position else {
@@ -118,15 +118,15 @@
         self.read_newest(end)
     }
 
-    /// Time for which a change is waited for.
+    /// Returns the time to wait for a delta.
     fn delta_wait(&self) -> Duration {
         DELTA_WAIT + RELAY_STAGGER * self.shared.rank()
     }
 
-    /// Reads the newest version of a topic that ended at `end`.
+    /// Reads the newest version of the topic, whose end offset is `end`.
     fn read_newest(&mut self, end: u64) -> Result<()> {
         let Some(last) = end.checked_sub(1) else {
-            // Nothing was published yet.
+            // The topic is empty.
             thread::sleep(RETRY_DELAY);
             return Ok(());
         };
@@ -137,14 +137,14 @@
             Err(error) => return Err(error),
         };
         if !found && !self.read_newest_by_key()? {
-            // One before the newest may still be newer than the one held.
+            // An earlier version may still be newer than the current one.
             self.read_between(position.unwrap_or_default(), last)?;
         }
         self.shared.skip_unreadable(end);
         Ok(())
     }
 
-    /// Takes the records from `position` to `end`, as far as they are kept.
+    /// Reads the retained records from `position` to `end`.
     fn read_between(&mut self, mut position: u64, end: u64) -> Result<()> {
         while position < end {
             match self.store.read(config::TOPIC, position, Duration::ZERO) {
@@ -160,8 +160,9 @@
         Ok(())
     }
 
-    /// Reads the newest version when its record has been deleted, or another
-    /// key's record follows it; whether it can be read.
+    /// Reads the newest version by its key, for the case that its record has been
+    /// deleted or is followed by records of other keys; returns whether it is
+    /// valid.
     fn read_newest_by_key(&mut self) -> Result<bool> {
         let newest = self.store.newest(config::TOPIC)?;
         for kept in newest.records {
@@ -178,8 +179,8 @@
         Ok(false)
     }
 
-    /// Takes the newest version of a page that begins at `first`; whether it
-    /// holds one.
+    /// Uses the newest valid version of a page that begins at offset `first`;
+    /// returns whether there is one.
     fn take_newest(&mut self, read: &StoreRead, first: u64) -> bool {
         let next = first + record_count(read);
         self.up_to_date = next >= read.page.end;
@@ -203,8 +204,8 @@
         false
     }
 
-    /// Decodes a configuration that follows from all records before `next`,
-    /// holds it and publishes what changed; whether it can be read.
+    /// Decodes a configuration that includes all records before `next`, makes it
+    /// the current one and publishes the delta; returns whether it is valid.
     fn decode_and_update(
         &self,
         value: &[u8],
@@ -241,9 +242,9 @@
         true
     }
 
-    /// Publishes what makes `config` out of `before`, after the relays that
-    /// come before this one had time to do so.
-    fn publish(&self, before: &CurrentConfig, next: u64, config: &FleetConfig) {
+    /// Publishes the delta from `before` to `config`, unless a relay with a lower
+    /// rank publishes it first.
+    fn publish(&self, before: &PositionedConfig, next: u64, config: &FleetConfig) {
         let stagger = RELAY_STAGGER * self.shared.rank();
         if self.shared.wait_for_delta(next, stagger) {
             return;
@@ -253,7 +254,7 @@
     }
 }
 
-/// Records of a read.
+/// Returns the number of records of a read.
 fn record_count(read: &StoreRead) -> u64 {
     u64::try_from(read.page.records.len()).unwrap_or(u64::MAX)
 }
--- a/crates/hibiscus-front/src/config/shared.rs
+++ b/crates/hibiscus-front/src/config/shared.rs
@@ -1,4 +1,4 @@
-//! The newest configuration that this instance has.
+//! The configuration that the two configuration threads share.
 
 use std::sync::Arc;
 use std::sync::Condvar;
@@ -19,30 +19,31 @@
 use crate::follow;
 use crate::relay::RelayRole;
 
-/// A configuration and where it stands in the operators' topic.
+/// A configuration and its position in the operators' topic.
 #[derive(Clone, Debug)]
-pub(super) struct CurrentConfig {
+pub(super) struct PositionedConfig {
     /// The configuration.
     pub(super) config: Arc<FleetConfig>,
-    /// Offset after the last record that it follows from.
+    /// Offset after the last record of the operators' topic that the
+    /// configuration includes.
     pub(super) next: u64,
 }
 
+/// State behind the lock of [`SharedConfig`].
 #[derive(Debug, Default)]
 struct SharedState {
-    current: Option<CurrentConfig>,
-    /// Offset up to which records were read that hold no readable
-    /// configuration.
+    current: Option<PositionedConfig>,
+    /// Offset after the last record that was read without a valid configuration.
     unreadable_end: u64,
-    /// Largest [`ConfigChange::next`] that was read.
+    /// Largest [`ConfigChange::next`] of the deltas that were read.
     published_next: u64,
-    /// Offset after the last record of the changes that was read.
+    /// Offset after the last record that was read of the deltas' topic.
     deltas_end: Option<u64>,
 }
 
 impl SharedState {
-    /// Offset from which on the operators' topic has to be read; `None` before
-    /// anything was read of it.
+    /// Returns the offset at which to continue reading the operators' topic;
+    /// `None` if nothing has been read of it.
     fn position(&self) -> Option<u64> {
         let current = self.current.as_ref().map(|current| current.next);
         let read = current.unwrap_or_default().max(self.unreadable_end);
@@ -50,7 +51,8 @@
     }
 }
 
-/// What the threads that follow the configuration share.
+/// The newest configuration and read positions, shared by the threads that
+/// follow the operators' topic and the deltas.
 pub(crate) struct SharedConfig {
     state: Mutex<SharedState>,
     changed: Condvar,
@@ -68,37 +70,37 @@
         }
     }
 
-    /// How many instances come before this one as a relay, at most
+    /// Returns the rank of this instance among the relays, at most
     /// [`hibiscus_traffic::relays::RELAYS`].
     pub(super) fn rank(&self) -> u32 {
         self.role.rank()
     }
 
-    /// Whether this instance waits for records of the operators.
+    /// Returns whether this instance is a relay.
     pub(super) fn is_relay(&self) -> bool {
         self.role.is_relay()
     }
 
-    /// The configuration that is held.
-    pub(super) fn current(&self) -> Option<CurrentConfig> {
+    /// Returns the newest configuration.
+    pub(super) fn current(&self) -> Option<PositionedConfig> {
         self.lock().current.clone()
     }
 
-    /// Offset from which on the operators' topic has to be read; `None` before
-    /// anything was read of it.
+    /// Returns the offset at which to continue reading the operators' topic;
+    /// `None` if nothing has been read of it.
     pub(super) fn position(&self) -> Option<u64> {
         self.lock().position()
     }
 
-    /// Notes that the records before the offset `end` which are not held have
-    /// no readable configuration.
+    /// Moves the read position to `end`, past records without a valid
+    /// configuration.
     pub(super) fn skip_unreadable(&self, end: u64) {
         let mut state = self.lock();
         state.unreadable_end = state.unreadable_end.max(end);
     }
 
-    /// Holds `config`, which follows from all records before `next`, unless a
-    /// newer one is held.
+    /// Replaces the configuration with `config`, which includes all records before
+    /// `next`, unless the current one is as new.
     pub(super) fn update(&self, config: Arc<FleetConfig>, next: u64, arrival: ConfigArrival) {
         let mut state = self.lock();
         if state
@@ -111,8 +113,8 @@
         self.replace(&mut state, config, next, arrival);
     }
 
-    /// Applies `change`, which was read from the fleet's topic, if it is one of
-    /// the configuration that is held.
+    /// Applies a delta that was read from the fleet's topic, if it is based on the
+    /// current configuration.
     pub(super) fn apply(&self, change: ConfigChange, arrival: ConfigArrival) {
         let begun = Instant::now();
         let (base, next) = (change.base, change.next);
@@ -146,8 +148,8 @@
         }
     }
 
-    /// Tells the traffic thread of `config` before the lock is released, so
-    /// that it learns of versions in their order.
+    /// Replaces the configuration, and sends it to the traffic thread before the
+    /// lock is released so that versions arrive there in order.
     fn replace(
         &self,
         state: &mut SharedState,
@@ -155,42 +157,42 @@
         next: u64,
         arrival: ConfigArrival,
     ) {
-        let told = Arc::clone(&config);
-        state.current = Some(CurrentConfig { config, next });
+        let sent = Arc::clone(&config);
+        state.current = Some(PositionedConfig { config, next });
         let update = TrafficUpdate::Config {
-            config: told,
+            config: sent,
             arrival,
         };
         follow::send_update(&self.updates, update);
         self.changed.notify_all();
     }
 
-    /// Notes that the changes were read up to the offset `end`.
+    /// Sets the offset up to which the deltas were read.
     pub(super) fn set_deltas_end(&self, end: Option<u64>) {
         self.lock().deltas_end = end;
         self.changed.notify_all();
     }
 
-    /// Offset after the last record of the changes that was read.
+    /// Returns the offset up to which the deltas were read.
     pub(super) fn deltas_end(&self) -> Option<u64> {
         self.lock().deltas_end
     }
 
-    /// Waits up to `limit` until all records before `end` are held; whether
-    /// they are.
+    /// Waits up to `limit` until the read position reaches `end`; returns whether
+    /// it did.
     pub(super) fn wait_for_position(&self, end: u64, limit: Duration) -> bool {
         self.wait(limit, |state| {
             state.position().is_some_and(|position| position >= end)
         })
     }
 
-    /// Waits up to `limit` until a change up to the offset `next` is
-    /// published; whether it is.
+    /// Waits up to `limit` for a published delta that leads to `next` or a later
+    /// offset; returns whether there is one.
     pub(super) fn wait_for_delta(&self, next: u64, limit: Duration) -> bool {
         self.wait(limit, |state| state.published_next >= next)
     }
 
-    /// Waits up to `limit` until the changes were read beyond `end`.
+    /// Waits up to `limit` until the deltas were read beyond `end`.
     pub(super) fn wait_for_deltas_after(&self, end: u64, limit: Duration) {
         self.wait(limit, |state| {
             state.deltas_end.is_some_and(|read| read > end)
--- a/crates/hibiscus-front/src/follow.rs
+++ b/crates/hibiscus-front/src/follow.rs
@@ -1,4 +1,5 @@
-//! Threads that follow topics of the metadata store.
+//! Threads that follow topics of the metadata store and send their records to the
+//! traffic thread.
 
 use std::sync::OnceLock;
 use std::sync::atomic::AtomicBool;
@@ -25,52 +26,54 @@
 use crate::topic_monitor::RETRY_DELAY;
 use crate::topic_monitor::TopicMonitor;
 
-/// Topic of the instances' announcements.
+/// Topic of the announcements, in which each instance publishes its entry.
 const INSTANCES_TOPIC: &str = "keyed.instances";
-/// Pause between reads of the accounts, so that one read brings the records
-/// of several instances. A verdict that is awaited ends it.
+/// Pause between reads of the account stream, so that one read returns records of
+/// several instances. The traffic thread ends it early when it waits for the
+/// result of a draw.
 const ACCOUNTS_READ_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a thread does with the records of a keyed topic.
+/// Handles the records of a keyed topic.
 pub(crate) trait TopicReader {
-    /// The topic.
+    /// Returns the name of the topic.
     fn topic(&self) -> &'static str;
 
-    /// Pause after each read.
+    /// Returns the pause after each read.
     fn pause(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Time for which a read waits for a record while the store answers. A
-    /// connection that fell silent shows only after it.
+    /// Returns the time for which a read waits for a record while the store is
+    /// reachable. A dead connection is detected only after it.
     fn wait(&self) -> Duration {
         READ_WAIT
     }
 
-    /// Takes over the newest record of each key.
+    /// Handles the newest record of each key.
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
         for record in records {
             self.apply(record, updates);
         }
     }
 
-    /// Takes over a record that was appended.
+    /// Handles a record that was appended.
     fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender);
 
-    /// A call failed, or succeeded.
-    fn call_finished(&mut self, _reached: bool, _updates: &UpdateSender) {}
+    /// Handles the result of a call to the store.
+    fn call_finished(&mut self, _succeeded: bool, _updates: &UpdateSender) {}
 }
 
-/// Sends news to the traffic thread, waiting for room. It fails only when
-/// that thread has ended, and the process with it.
+/// Sends `update` to the traffic thread and blocks while its queue is full. It
+/// fails only after that thread has ended, when the process is about to exit.
 pub(crate) fn send_update(updates: &UpdateSender, update: TrafficUpdate) {
     if updates.blocking_send(update).is_err() {
         event!(EventCode::UpdateTooLate, "");
     }
 }
 
-/// Follows a keyed topic: the newest records first, then what is appended;
-/// after a gap, the newest records again.
+/// Follows a keyed topic: reads the newest record of each key, then the records
+/// that are appended. If records expired before they were read, it starts again
+/// with the newest records.
 pub(crate) fn follow_keyed<R: TopicReader>(
     store: &StoreClient,
     updates: &UpdateSender,
@@ -122,7 +125,7 @@
     }
 }
 
-/// Reads the instances' announcements.
+/// Reads the announcements of instances.
 struct InstancesReader;
 
 impl TopicReader for InstancesReader {
@@ -152,14 +155,14 @@
     }
 }
 
-/// Follows the instances' announcements, after making the own one.
+/// Publishes the announcement of this instance, then follows the announcements of
+/// all instances.
 pub(crate) fn follow_instances(store: &StoreClient, updates: &UpdateSender, own: &InstanceEntry) {
     announce(store, own);
     follow_keyed(store, updates, InstancesReader);
 }
 
-/// Writes the announcement of `own`, however often it takes. Copies change
-/// nothing.
+/// Publishes the announcement `own` with retries; announcements are idempotent.
 pub(crate) fn announce(store: &StoreClient, own: &InstanceEntry) {
     let value = match codec::encode(own) {
         Ok(value) => value,
@@ -175,7 +178,8 @@
     }
 }
 
-/// Whether this instance reads the account stream now.
+/// Switch by which the traffic thread starts and stops the reading of the account
+/// stream.
 #[derive(Debug, Default)]
 pub(crate) struct AccountsGate {
     open: AtomicBool,
@@ -183,13 +187,13 @@
 }
 
 impl AccountsGate {
-    /// Names the thread that reads.
+    /// Sets the thread that reads the stream.
     pub(crate) fn set_reader(&self, reader: Thread) {
-        // There is one thread, and it is named once.
+        // There is only one reading thread, and it is set once.
         let _first = self.reader.set(reader);
     }
 
-    /// Has the stream read, or not.
+    /// Opens or closes the gate; opening it wakes the reading thread.
     pub(crate) fn set(&self, open: bool) {
         let was_open = self.open.swap(open, Ordering::Relaxed);
         if let Some(reader) = self.reader.get().filter(|_reader| open && !was_open) {
@@ -197,7 +201,7 @@
         }
     }
 
-    /// Waits until the stream is to be read.
+    /// Waits until the gate is open.
     fn wait(&self) {
         while !self.open.load(Ordering::Relaxed) {
             thread::park();
@@ -205,8 +209,8 @@
     }
 }
 
-/// Follows the account stream from its oldest record, after the snapshots if
-/// records have expired, for as long as `gate` is open.
+/// Follows the account stream from its first record while `gate` is open. If
+/// records expired before they were read, it continues from the snapshots.
 pub(crate) fn follow_accounts(store: &StoreClient, updates: &UpdateSender, gate: &AccountsGate) {
     let mut monitor = TopicMonitor::default();
     let mut next = 0;
@@ -257,7 +261,8 @@
     }
 }
 
-/// Hands the snapshots over that stand for the records before `first`.
+/// Sends the snapshots that replace the records before `first` to the traffic
+/// thread.
 fn read_snapshots(
     store: &StoreClient,
     updates: &UpdateSender,
--- a/crates/hibiscus-front/src/main.rs
+++ b/crates/hibiscus-front/src/main.rs
@@ -1,9 +1,10 @@
 //! The router daemon on the users' platform.
 //!
-//! The traffic thread serves callers and decides; the other threads only move
-//! records between it and the metadata store: [`follow`] reads topics and
-//! [`config`] the operators' configuration, [`append`] writes, [`signals`] waits for signals. [`serve`] builds the
-//! traffic thread.
+//! The traffic thread serves callers and makes all decisions. The other threads
+//! only move records between it and the metadata store: [`follow`] and
+//! [`servers`] read topics, [`config`] reads the operators' configuration,
+//! [`append`] writes account records, and [`suspects`] reads and writes crash
+//! reports. [`signals`] waits for signals. [`serve`] starts all threads.
 
 mod append;
 mod cli;
--- a/crates/hibiscus-front/src/relay.rs
+++ b/crates/hibiscus-front/src/relay.rs
@@ -1,4 +1,4 @@
-//! What this instance reads of the store for the whole fleet.
+//! Whether this instance reads topics of the store for the whole fleet.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicUsize;
@@ -8,19 +8,20 @@
 use hibiscus_events::event;
 use hibiscus_traffic::relays::RELAYS;
 
-/// Whether this instance is one of the few that read topics as they are written
-/// and publish what changes. The traffic thread sets it, others look at it.
+/// Role of this instance as a relay, one of the few instances that read a topic
+/// and publish its changes for the others. The traffic thread sets the role, the
+/// threads that follow topics read it.
 #[derive(Debug, Default)]
 pub(crate) struct RelayRole {
-    /// How many instances come before this one.
+    /// Rank of this instance in the order of relays, from 0.
     rank: AtomicUsize,
-    /// Whether the fleet is so large that a few read for the others.
+    /// Whether the fleet is large enough to use relays for server entries.
     large: AtomicBool,
 }
 
 impl RelayRole {
-    /// Notes how many instances come before this one, and whether the fleet is
-    /// `large`.
+    /// Sets the rank of this instance and whether the fleet is `large`, and logs a
+    /// change of the role.
     pub(crate) fn set(&self, rank: usize, large: bool) {
         let before = (self.is_relay(), self.is_large());
         self.rank.store(rank, Ordering::Relaxed);
@@ -34,18 +35,18 @@
         }
     }
 
-    /// How many instances come before this one, at most [`RELAYS`].
+    /// Returns the rank of this instance, at most [`RELAYS`].
     pub(crate) fn rank(&self) -> u32 {
         let rank = self.rank.load(Ordering::Relaxed).min(RELAYS);
         u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
-    /// Whether this instance is one of the few.
+    /// Returns whether this instance is a relay.
     pub(crate) fn is_relay(&self) -> bool {
         self.rank.load(Ordering::Relaxed) < RELAYS
     }
 
-    /// Whether a few read for the others.
+    /// Returns whether the fleet is large enough to use relays for server entries.
     pub(crate) fn is_large(&self) -> bool {
         self.large.load(Ordering::Relaxed)
     }
--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -1,4 +1,5 @@
-//! Builds the daemon: the traffic thread and the threads around it.
+//! Starts the traffic thread and the threads that move records, serves requests
+//! and performs the graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -65,49 +66,49 @@
 use crate::signals;
 use crate::suspects;
 
-/// Path of the metrics.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
-/// Time for which a caller keeps an address answer: an instance that died is
-/// forgotten within it.
+/// Time for which a caller caches the addresses of instances, after which it no
+/// longer uses an instance that has failed.
 const ADDRESS_TTL: Duration = Duration::from_secs(2);
-/// Time between two looks at budgets and servers.
+/// Interval of the reviews of budgets and servers.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks at the levels; the platform reads them each 5 s.
+/// Interval at which gauges are updated; the platform reads them every 5 s.
 const LEVELS_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between two looks at the use of memory: a link of 10 Mbit/s brings
-/// 0.6 MB meanwhile.
+/// Interval of the checks of memory use: a link of 10 Mbit/s transfers 0.6 MB
+/// within it.
 const MEMORY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after the begin of a planned stop during which new requests are still
-/// served: callers keep addresses for up to three lifetimes, and streams need
-/// their time before the process is killed.
+/// Time after the start of a graceful shutdown during which new requests are still
+/// served: callers cache addresses for up to three lifetimes, and streams need
+/// the remaining time before the process is killed.
 const SHUTDOWN_SERVING_TIME: Duration = Duration::from_millis(3_000);
-/// Part of the time between SIGTERM and SIGKILL that is used.
+/// Share of the time between SIGTERM and SIGKILL that the shutdown may take.
 const SHUTDOWN_SHARE: f64 = 0.95;
-/// Time for the callers that came last, once the accounts are closed.
+/// Time to respond to the last connections after the accounts are closed.
 const LAST_CALLERS_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time between two looks at them.
+/// Interval at which a shutdown checks for open connections of callers.
 const CALLERS_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Stack of the threads that only move records, in bytes.
+/// Stack size of the threads that only move records.
 const THREAD_STACK_BYTES: usize = 256 * 1024;
 
-/// Why the daemon did not start.
+/// Error that prevents the start of the daemon.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
     /// A port cannot be opened.
     #[error("failed to open the port {address}")]
     Bind {
-        /// The address.
+        /// Address of the port.
         address: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// The system refuses a runtime, a thread or a signal handler.
-    #[error("failed to start a thread or a handler")]
+    /// A runtime, a thread or a signal handler cannot be created.
+    #[error("failed to start a runtime, a thread or a signal handler")]
     Start(#[from] io::Error),
-    /// The recorder of the metrics cannot be had.
+    /// The recorder of the metrics cannot be created.
     #[error("failed to start the metrics")]
     Metrics(#[from] BuildError),
-    /// The link to the other instances cannot be had.
+    /// The link to the other instances cannot be opened.
     #[error("failed to start the link to the other instances")]
     Link(#[from] PinnedError),
 }
@@ -115,7 +116,7 @@
 /// Result of running the daemon.
 pub(crate) type Result<T> = std::result::Result<T, ServeError>;
 
-/// What serving needs of the other duties.
+/// Parts of the daemon that [`run`] passes to [`serve`].
 struct ServeParts {
     store: StoreClient,
     own: InstanceEntry,
@@ -124,14 +125,14 @@
     accounts: Arc<AccountsGate>,
 }
 
-/// State of this daemon's request path.
+/// State of the traffic thread with the platform's header format.
 type FrontState = TrafficState<PlatformFormat>;
 
-/// Runs the daemon until a planned stop is complete.
+/// Runs the daemon until a graceful shutdown is complete.
 ///
 /// # Errors
 ///
-/// Fails when a port, a thread or a signal handler cannot be had.
+/// Fails if a port, a thread or a signal handler cannot be created.
 pub(crate) fn run(settings: ProcessSettings) -> Result<()> {
     let recorder = recorder()?;
     let metrics = recorder.handle();
@@ -179,13 +180,13 @@
     let store = StoreClient::new(settings.store);
     let (sender, receiver) = updates::ring();
     let (outbox, batches) = mpsc::sync_channel(append::QUEUE_CAPACITY);
-    let (news, suspect_batches) = mpsc::sync_channel(suspects::QUEUE_CAPACITY);
+    let (suspect_sender, suspect_batches) = mpsc::sync_channel(suspects::QUEUE_CAPACITY);
     spawn("signals", {
         let sender = sender.clone();
         move || signals::run(&mut signals, &sender)
     })?;
     let role = Arc::new(RelayRole::default());
-    let shared = config::shared(sender.clone(), Arc::clone(&role));
+    let shared = config::new_shared(sender.clone(), Arc::clone(&role));
     spawn("config", {
         let (store, shared) = (store.clone(), Arc::clone(&shared));
         move || config::follow_operators(&store, &shared)
@@ -233,7 +234,7 @@
         budgets: desk,
         retries,
         directory: InstanceDirectory::new(own.clone()),
-        suspects: SuspectDesk::new(own.name.clone(), news),
+        suspects: SuspectDesk::new(own.name.clone(), suspect_sender),
         bounds: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
         limits,
         first_start: settings.first_start,
@@ -261,7 +262,7 @@
     Ok(())
 }
 
-/// The recorder of the metrics, with the bounds of its histograms.
+/// Creates the metrics recorder with the bucket bounds of its histograms.
 fn recorder() -> Result<PrometheusRecorder> {
     let times = &measures::TIME_BOUNDS;
     let bounds = [
@@ -286,13 +287,13 @@
         .spawn(work)
 }
 
-/// Opens the ports and serves until a planned stop is complete.
+/// Opens the ports and serves until a graceful shutdown is complete.
 async fn serve(
     settings: &ProcessSettings,
     state: Rc<FrontState>,
     mut updates: UpdateReceiver,
     metrics: PrometheusHandle,
-    duties: ServeParts,
+    parts: ServeParts,
 ) -> Result<()> {
     let ServeParts {
         store,
@@ -300,7 +301,7 @@
         keys,
         role,
         accounts,
-    } = duties;
+    } = parts;
     let callers = bind(settings.callers).await?;
     let readiness = bind(settings.readiness).await?;
     let directory = bind(settings.directory).await?;
@@ -331,7 +332,7 @@
         let metrics = metrics.clone();
         move |_state: &FrontState, request: &Request<Incoming>| metrics_response(&metrics, request)
     }));
-    tokio::task::spawn_local(show_levels(Rc::clone(&state), metrics));
+    tokio::task::spawn_local(update_gauges(Rc::clone(&state), metrics));
     tokio::task::spawn_local(watch_memory(Rc::clone(&state)));
     let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -364,13 +365,13 @@
         };
         follow::announce(&store, &leaving);
     })?;
-    stop(settings, &state, &mut updates).await;
+    shut_down(settings, &state, &mut updates).await;
     Ok(())
 }
 
-/// Shows levels for as long as the runtime runs, and lets the recorder sort
-/// what the histograms took: until then it keeps every value.
-async fn show_levels(state: Rc<FrontState>, metrics: PrometheusHandle) {
+/// Updates gauges for as long as the runtime runs, and runs the upkeep of the
+/// recorder, which otherwise keeps every value of the histograms.
+async fn update_gauges(state: Rc<FrontState>, metrics: PrometheusHandle) {
     loop {
         tokio::time::sleep(LEVELS_INTERVAL).await;
         state.show_levels();
@@ -382,7 +383,7 @@
     }
 }
 
-/// Shows what the link to the other instances counts.
+/// Records the counts of the link to the other instances as metrics.
 fn record_link_metrics(counts: &LinkCounts) {
     let open = [("out", counts.open_out), ("in", counts.open_in)];
     for (direction, count) in open {
@@ -401,7 +402,8 @@
     counter!("hibiscus_peer_calls_late_total").absolute(counts.calls_late);
 }
 
-/// Keeps the use of memory in bounds for as long as the runtime runs.
+/// Checks the memory use for as long as the runtime runs, so that the state can
+/// shed load.
 async fn watch_memory(state: Rc<FrontState>) {
     loop {
         tokio::time::sleep(MEMORY_INTERVAL).await;
@@ -412,9 +414,14 @@
     }
 }
 
-/// Serves on while callers learn of the stop, then refuses what is new and
-/// waits for what is in progress.
-async fn stop(settings: &ProcessSettings, state: &Rc<FrontState>, updates: &mut UpdateReceiver) {
+/// Shuts down gracefully: serves until callers have stopped using this instance,
+/// then refuses new requests, waits for those in progress and settles the
+/// accounts.
+async fn shut_down(
+    settings: &ProcessSettings,
+    state: &Rc<FrontState>,
+    updates: &mut UpdateReceiver,
+) {
     let begun = tokio::time::Instant::now();
     let limit = begun + settings.termination_grace.mul_f64(SHUTDOWN_SHARE);
     let mut tick = tokio::time::interval(TICK_INTERVAL);
@@ -444,11 +451,11 @@
     {
         event!(EventCode::TokensNotReturned, "");
     }
-    // The last connections are answered that nothing runs here any more.
+    // The last connections get a response that this instance has shut down.
     state.close_port();
     let ended = limit.min(tokio::time::Instant::now() + LAST_CALLERS_TIMEOUT);
     loop {
-        // Lets the port's task accept what waits there.
+        // Lets the port's task accept connections from the listen queue.
         tokio::time::sleep(CALLERS_POLL_INTERVAL).await;
         if state.callers.is_empty() || tokio::time::Instant::now() >= ended {
             break;
@@ -456,7 +463,8 @@
     }
 }
 
-/// Gives tokens back and writes the last snapshots, until the store has both.
+/// Returns the unspent tokens and writes the last snapshots, and waits until the
+/// store has acknowledged both.
 async fn settle_accounts(state: &Rc<FrontState>, updates: &mut UpdateReceiver) {
     supply::return_all(state).await;
     state.budgets.give_all_back();
@@ -465,7 +473,7 @@
             state.apply(update);
         }
     }
-    // What an instance knows that does not follow the stream is old.
+    // The accounts of an instance that does not follow the stream are outdated.
     if !state.follows_accounts() {
         return;
     }
@@ -483,7 +491,7 @@
     listener.map_err(|source| ServeError::Bind { address, source })
 }
 
-/// Answers the readiness check.
+/// Responds to a readiness check.
 fn readiness_response(state: &FrontState, request: &Request<Incoming>) -> Response<AnswerBody> {
     if request.uri().path() != endpoints::READINESS_PATH {
         return answer::status_answer(http::StatusCode::NOT_FOUND);
@@ -496,7 +504,7 @@
     }
 }
 
-/// Answers a caller that asks which instances to use.
+/// Responds to a caller with the addresses of the instances to use.
 fn addresses_response(
     state: &FrontState,
     request: &Request<Incoming>,
@@ -515,7 +523,7 @@
     answer::json_answer(body)
 }
 
-/// Answers a call for the metrics.
+/// Responds to a request for the metrics.
 fn metrics_response(
     metrics: &PrometheusHandle,
     request: &Request<Incoming>,
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -1,8 +1,9 @@
-//! Follows the servers' entries.
+//! Follows the entries of the backend servers.
 //!
-//! In a small fleet each instance reads them. In a large one a few relays do,
-//! and publish what changes ([`hibiscus_traffic::server_news`]); the others
-//! follow the news, and read the entries when news are missing or do not come.
+//! In a small fleet each instance reads the entries. In a large fleet a few
+//! relays read them and publish change sets ([`hibiscus_traffic::server_news`]).
+//! The other instances follow the change sets, and read the entries if a change
+//! set is missing or none arrives in time.
 
 use std::thread;
 use std::time::Duration;
@@ -35,25 +36,25 @@
 use crate::topic_monitor::RETRY_DELAY;
 use crate::topic_monitor::TopicMonitor;
 
-/// Pause between reads of the servers' entries, which are written all the
-/// time: a leaving server is known well within the 2 s that it may take.
+/// Pause between reads of the entries, which are written continuously: a draining
+/// server must be detected within 2 s.
 const ENTRIES_READ_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Follows the servers' entries for as long as the process runs.
+/// Follows the entries of the servers for as long as the process runs.
 pub(crate) fn follow_servers(store: &StoreClient, updates: &UpdateSender, role: &RelayRole) {
     let mut follower = ServersFollower {
         store,
         updates,
         role,
         begun: Instant::now(),
-        book: None,
+        registry: None,
         draft: None,
-        news_next: 0,
-        heard: Duration::ZERO,
+        changes_next: 0,
+        last_received: Duration::ZERO,
     };
     let mut monitor = TopicMonitor::default();
     loop {
-        match follower.step(monitor.wait_or(READ_WAIT)) {
+        match follower.read_once(monitor.wait_or(READ_WAIT)) {
             Ok(()) => {
                 monitor.succeeded(servers::TOPIC);
                 send_update(updates, TrafficUpdate::ServersRead);
@@ -64,7 +65,7 @@
                     "topic={} first={first}",
                     servers::TOPIC
                 );
-                follower.book = None;
+                follower.registry = None;
             }
             Err(error) => {
                 monitor.failed(servers::TOPIC, &error);
@@ -75,20 +76,20 @@
     }
 }
 
-/// Follows the servers' entries for one instance.
+/// Follows the entries of the servers, according to the role of the instance.
 struct ServersFollower<'a> {
     store: &'a StoreClient,
     updates: &'a UpdateSender,
     role: &'a RelayRole,
     begun: Instant,
-    /// The servers; `None` before their entries were read.
-    book: Option<ServerBook>,
-    /// What this instance is to publish, while it is a relay.
+    /// The servers; `None` until all entries were read.
+    registry: Option<ServerBook>,
+    /// Changes that this instance will publish; only set while it is a relay.
     draft: Option<NewsDraft>,
-    /// Offset of the next record of the news.
-    news_next: u64,
-    /// When news came last.
-    heard: Duration,
+    /// Offset of the next record in the topic of the change sets.
+    changes_next: u64,
+    /// Time at which the last change set was received, since `begun`.
+    last_received: Duration,
 }
 
 impl ServersFollower<'_> {
@@ -96,59 +97,59 @@
         self.begun.elapsed()
     }
 
-    /// One read, by the present duty; it waits for news up to `wait`.
-    fn step(&mut self, wait: Duration) -> Result<()> {
-        let Some(mut book) = self.book.take() else {
-            return self.begin();
+    /// Reads once, according to the current role, waiting up to `wait` for a record.
+    fn read_once(&mut self, wait: Duration) -> Result<()> {
+        let Some(mut registry) = self.registry.take() else {
+            return self.read_all();
         };
         let is_relay = self.role.is_relay();
         let done = if !self.role.is_large() {
             self.draft = None;
-            self.read_entries(&mut book, wait)
+            self.read_entries(&mut registry, wait)
         } else if is_relay {
-            self.relay(&mut book, wait)
+            self.relay(&mut registry, wait)
         } else {
-            self.follow_news(&mut book, wait)
+            self.follow_changes(&mut registry, wait)
         };
-        // What was read stays, whatever the last call came to.
+        // The registry stays valid after a failed call, unless records expired unread.
         if !matches!(done, Err(StoreError::Expired { .. })) {
-            self.book = Some(book);
+            self.registry = Some(registry);
         }
         done
     }
 
-    /// Reads the newest entries of all servers.
-    fn begin(&mut self) -> Result<()> {
-        // News from here on are missed by nobody who reads the entries next.
-        self.news_next = self.store.end(NEWS_TOPIC)?;
+    /// Reads the entries of all servers.
+    fn read_all(&mut self) -> Result<()> {
+        // The end is read before the entries, so that no change set is missed.
+        self.changes_next = self.store.end(NEWS_TOPIC)?;
         let newest = self.store.newest(servers::TOPIC)?;
         let mut entries = Vec::with_capacity(newest.records.len());
         for kept in newest.records {
-            match decode(kept.record) {
+            match decode_change(kept.record) {
                 ServerChange::Present(entry) => entries.push(entry),
                 ServerChange::Gone(name) => event!(EventCode::EntryUnreadable, "key={name}"),
             }
         }
-        self.book = Some(ServerBook::new(&entries, newest.next));
+        self.registry = Some(ServerBook::new(&entries, newest.next));
         self.draft = None;
-        self.heard = self.now();
+        self.last_received = self.now();
         send_update(self.updates, TrafficUpdate::AllServers(entries));
         Ok(())
     }
 
-    /// Reads the entries that were written since, waiting up to `wait`, and
-    /// pauses.
-    fn read_entries(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
-        let from = book.position();
+    /// Reads the entries that were written since the last read, waiting up to
+    /// `wait`, and then pauses.
+    fn read_entries(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
+        let from = registry.position();
         let read = self.store.read(servers::TOPIC, from, wait)?;
         let now = self.now();
         for (offset, record) in (from..).zip(read.page.records) {
             let Some(record) = records::decode_keyed(&record) else {
                 event!(EventCode::RecordWithoutKey, "topic={}", servers::TOPIC);
-                book.advance(offset + 1);
+                registry.advance(offset + 1);
                 continue;
             };
-            if let Some(change) = book.take(offset, decode(record)) {
+            if let Some(change) = registry.take(offset, decode_change(record)) {
                 if let Some(draft) = &mut self.draft {
                     draft.note(offset, change.clone(), now);
                 }
@@ -159,16 +160,16 @@
         Ok(())
     }
 
-    /// Reads the entries, and publishes what changed unless a relay before this
-    /// one does.
-    fn relay(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
+    /// Reads the entries as a relay, and publishes the changes unless a relay with
+    /// a lower rank does.
+    fn relay(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
         if self.draft.is_none() {
-            self.draft = Some(NewsDraft::new(book.position(), self.now()));
+            self.draft = Some(NewsDraft::new(registry.position(), self.now()));
         }
-        self.read_entries(book, wait)?;
+        self.read_entries(registry, wait)?;
         let rank = self.role.rank();
         if rank > 0 {
-            self.read_news(book, Duration::ZERO)?;
+            self.read_changes(registry, Duration::ZERO)?;
         }
         let now = self.now();
         let Some(draft) = &mut self.draft else {
@@ -177,7 +178,7 @@
         if !draft.is_due(rank, now) {
             return Ok(());
         }
-        let news = draft.news(book.position());
+        let news = draft.news(registry.position());
         let mut encoded = Vec::with_capacity(news.len());
         for part in &news {
             match codec::encode(part) {
@@ -186,40 +187,43 @@
             }
         }
         match self.store.append(NEWS_TOPIC, &encoded) {
-            // Copies change nothing, so one whose reply is lost goes out again.
-            Ok(_receipt) => draft.note_published(book.position(), now),
+            // Change sets are idempotent, so an append without a reply is repeated.
+            Ok(_receipt) => draft.note_published(registry.position(), now),
             Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
         }
         Ok(())
     }
 
-    /// Follows the news; without any for a while reads the entries.
-    fn follow_news(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
+    /// Follows the change sets, and reads the entries if none has arrived for some
+    /// time.
+    fn follow_changes(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
         if self.draft.take().is_some() {
-            // A relay reads no news; what it missed shows as a gap.
-            self.news_next = self.store.end(NEWS_TOPIC)?;
-            self.heard = self.now();
+            // A relay does not read all change sets; a missed one is detected as a
+            // gap.
+            self.changes_next = self.store.end(NEWS_TOPIC)?;
+            self.last_received = self.now();
         }
-        if server_news::is_silent(self.heard, self.now()) {
-            self.read_entries(book, wait)?;
-            return self.read_news(book, Duration::ZERO);
+        if server_news::is_silent(self.last_received, self.now()) {
+            self.read_entries(registry, wait)?;
+            return self.read_changes(registry, Duration::ZERO);
         }
-        self.read_news(book, wait.min(NEWS_INTERVAL))
+        self.read_changes(registry, wait.min(NEWS_INTERVAL))
     }
 
-    /// Reads the news that were published since, waiting up to `wait`.
-    fn read_news(&mut self, book: &mut ServerBook, wait: Duration) -> Result<()> {
-        let read = match self.store.read(NEWS_TOPIC, self.news_next, wait) {
+    /// Reads the change sets that were published since the last read, waiting up to
+    /// `wait`.
+    fn read_changes(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
+        let read = match self.store.read(NEWS_TOPIC, self.changes_next, wait) {
             Ok(read) => read,
             Err(StoreError::Expired { first }) => {
-                self.news_next = first;
+                self.changes_next = first;
                 return Ok(());
             }
             Err(error) => return Err(error),
         };
         let now = self.now();
         for record in read.page.records {
-            self.news_next += 1;
+            self.changes_next += 1;
             let news = match codec::decode::<ServerNews>(&record) {
                 Ok(news) => news,
                 Err(error) => {
@@ -227,12 +231,12 @@
                     continue;
                 }
             };
-            self.heard = now;
+            self.last_received = now;
             if let Some(draft) = &mut self.draft {
                 draft.note_published(news.upto, now);
             }
             let upto = news.upto;
-            match book.take_news(news) {
+            match registry.take_news(news) {
                 Ok(changes) => {
                     for change in changes {
                         self.send_change(change);
@@ -244,7 +248,7 @@
                         "position={} upto={upto}",
                         gap.position
                     );
-                    self.read_entries(book, Duration::ZERO)?;
+                    self.read_entries(registry, Duration::ZERO)?;
                 }
             }
         }
@@ -260,8 +264,8 @@
     }
 }
 
-/// What a record says of a server; bytes that name no server remove it.
-fn decode(record: KeyedRecord) -> ServerChange {
+/// Decodes a record; an invalid entry counts as the removal of the server.
+fn decode_change(record: KeyedRecord) -> ServerChange {
     let entry: Option<ServerEntry> = record
         .value
         .as_ref()
--- a/crates/hibiscus-front/src/signals.rs
+++ b/crates/hibiscus-front/src/signals.rs
@@ -9,12 +9,12 @@
 use signal_hook::consts::SIGTERM;
 use signal_hook::iterator::Signals;
 
-/// Tells the traffic thread of signals until the process ends.
+/// Forwards termination signals to the traffic thread until the process exits.
 pub(crate) fn run(signals: &mut Signals, updates: &UpdateSender) {
     for signal in signals.forever() {
         if signal == SIGHUP {
-            // Nothing of the settings changes while a process runs but what
-            // the store tells sooner.
+            // The settings of a running process do not change, except for values
+            // that it reads from the store earlier.
             event!(EventCode::SettingsChanged, "");
             continue;
         }
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the system refuses a handler.
+/// Fails if a handler cannot be registered.
 pub(crate) fn register() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
--- a/crates/hibiscus-front/src/suspects.rs
+++ b/crates/hibiscus-front/src/suspects.rs
@@ -1,7 +1,8 @@
-//! The fleet's topic of requests under which servers ended.
+//! Reads and writes the fleet's topic of crash reports: requests during which a
+//! server crashed.
 //!
-//! It is keyed by request and server, so the store keeps what is in force and
-//! a process that starts reads no history.
+//! The topic is keyed by request and server, so the store keeps the reports that
+//! are in force and a starting process reads no history.
 
 use std::sync::mpsc::Receiver;
 use std::thread;
@@ -24,21 +25,22 @@
 use crate::follow;
 use crate::follow::TopicReader;
 
-/// The topic.
+/// Topic of the crash reports.
 const TOPIC: &str = "keyed.suspects";
-/// Batches that wait for the thread that appends.
+/// Capacity of the queue of batches to the appending thread.
 pub(crate) const QUEUE_CAPACITY: usize = 64;
-/// Time for which a read waits for a record. A connection that fell silent
-/// shows 0.9 s after it, within the 3 s in which instances must know.
+/// Time for which a read waits for a record. A dead connection is detected 0.9 s
+/// after it, within the 3 s in which instances must receive a report.
 const READ_WAIT: Duration = Duration::from_secs(2);
-/// Time for which news are gathered into one append.
+/// Time to collect further records for one append.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
-/// Pause after a failed append.
+/// Delay before the retry of a failed append.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Records kept while the store is away; the oldest go first.
+/// Largest number of records to keep while the store is unreachable; the oldest
+/// are dropped first.
 const PENDING_RECORDS_LIMIT: usize = 4_096;
 
-/// Reads the topic.
+/// Reads the crash reports.
 struct SuspectsReader;
 
 impl TopicReader for SuspectsReader {
@@ -69,7 +71,8 @@
     }
 }
 
-/// Decodes a record; `None` when another writer left it.
+/// Decodes a record; `None` if it is not a valid crash report, such as one from
+/// another writer.
 fn decode(record: &KeyedRecord) -> Option<SuspectNews> {
     let key = EndKey::parse(&record.key);
     let news = match &record.value {
@@ -85,29 +88,29 @@
     news
 }
 
-/// Follows the topic.
+/// Follows the crash reports of all instances.
 pub(crate) fn follow_suspects(store: &StoreClient, updates: &UpdateSender) {
     follow::follow_keyed(store, updates, SuspectsReader);
 }
 
-/// Appends what comes over `batches` until its sender is dropped, however
-/// often it takes. Copies change nothing.
+/// Appends the received batches until the sender is dropped. A failed append is
+/// retried; the records are idempotent.
 pub(crate) fn append_suspects(
     store: &StoreClient,
     limits: StoreLimits,
     batches: &Receiver<Vec<SuspectNews>>,
 ) {
-    let mut kept: Vec<Vec<u8>> = Vec::new();
+    let mut pending: Vec<Vec<u8>> = Vec::new();
     while let Ok(news) = batches.recv() {
-        kept.extend(news.iter().filter_map(encode));
+        pending.extend(news.iter().filter_map(encode));
         thread::sleep(BATCH_DELAY);
         loop {
             while let Ok(more) = batches.try_recv() {
-                kept.extend(more.iter().filter_map(encode));
+                pending.extend(more.iter().filter_map(encode));
             }
-            let surplus = kept.len().saturating_sub(PENDING_RECORDS_LIMIT);
-            kept.drain(..surplus);
-            if append(store, limits, &mut kept) {
+            let surplus = pending.len().saturating_sub(PENDING_RECORDS_LIMIT);
+            pending.drain(..surplus);
+            if append(store, limits, &mut pending) {
                 break;
             }
             thread::sleep(RETRY_DELAY);
@@ -115,23 +118,24 @@
     }
 }
 
-/// Appends `kept` and removes what the store has; false when a call failed.
-fn append(store: &StoreClient, limits: StoreLimits, kept: &mut Vec<Vec<u8>>) -> bool {
-    for call in limits.batches(kept.clone()) {
+/// Appends the records of `pending` and removes those that the store acknowledged;
+/// returns false if a call failed.
+fn append(store: &StoreClient, limits: StoreLimits, pending: &mut Vec<Vec<u8>>) -> bool {
+    for call in limits.batches(pending.clone()) {
         if let Err(error) = store.append(TOPIC, &call) {
             event!(
                 EventCode::SuspectsNotStored,
                 "records={} cause={error}",
-                kept.len()
+                pending.len()
             );
             return false;
         }
-        kept.drain(..call.len());
+        pending.drain(..call.len());
     }
     true
 }
 
-/// The record of `news`.
+/// Encodes the record of `news`.
 fn encode(news: &SuspectNews) -> Option<Vec<u8>> {
     let key = news.key().to_string();
     let value = match news {
--- a/crates/hibiscus-front/src/topic_monitor.rs
+++ b/crates/hibiscus-front/src/topic_monitor.rs
@@ -1,4 +1,4 @@
-//! Whether a topic of the metadata store can be read.
+//! Tracks whether a topic of the metadata store can be read.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,33 +7,33 @@
 use hibiscus_events::event;
 use platform::store::StoreError;
 
-/// Time for which a read waits for a record. A connection that fell silent
-/// shows after it, and a change must be known within 2 s of being made.
+/// Time for which a read waits for a record. A dead connection is detected only
+/// after it, and a change must be received within 2 s.
 pub(crate) const READ_WAIT: Duration = Duration::from_millis(1_500);
-/// Time for which a read waits while the store is away: its return is seen by
-/// the next call, not by one that waits on a connection of before.
+/// Time for which a read waits while the store is unreachable: its recovery is
+/// noticed by a new call, not by one that waits on an old connection.
 const UNREACHABLE_READ_WAIT: Duration = Duration::from_millis(100);
-/// Pause after a failed call.
+/// Delay before the retry of a failed call.
 pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Logs the loss and the return of a topic.
+/// Logs when a topic becomes unreadable and readable again.
 #[derive(Default)]
 pub(crate) struct TopicMonitor {
-    /// When the first of the present failures was.
+    /// Time of the first failure since the last success.
     lost: Option<Instant>,
-    /// Failures since then.
+    /// Number of failures since the last success.
     failures: u32,
-    /// Bytes of replies that were cut since then.
+    /// Bytes received in truncated replies since the last success.
     cut_bytes: usize,
 }
 
 impl TopicMonitor {
-    /// Time for which the next read waits.
+    /// Returns the time for which the next read waits for a record.
     pub(crate) fn wait(&self) -> Duration {
         self.wait_or(READ_WAIT)
     }
 
-    /// As [`Self::wait`], with `wait` while the topic can be read.
+    /// As [`Self::wait`], but returns `wait` while the topic can be read.
     pub(crate) fn wait_or(&self, wait: Duration) -> Duration {
         if self.lost.is_some() {
             UNREACHABLE_READ_WAIT
--- a/crates/hibiscus-front/tests/cli.rs
+++ b/crates/hibiscus-front/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Command line of the daemon, word for word.
+//! The command line of the daemon: help text, exit codes and error messages.
 
 use std::env;
 use std::fs;
@@ -11,7 +11,7 @@
 use platform_standins::front::FrontPorts;
 use platform_standins::front::settings_text;
 
-/// Settings that are complete, with callers on `port`.
+/// Returns complete settings with `port` for callers.
 fn settings(port: u16) -> String {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     let ports = FrontPorts {
@@ -31,7 +31,7 @@
         .expect("the program starts")
 }
 
-/// A file that is removed when the test ends.
+/// A settings file that is removed at the end of the test.
 struct SettingsFile(PathBuf);
 
 impl SettingsFile {
@@ -48,7 +48,7 @@
 
 impl Drop for SettingsFile {
     fn drop(&mut self) {
-        let _gone = fs::remove_file(&self.0);
+        let _removed = fs::remove_file(&self.0);
     }
 }
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn help_lists_options_and_exit_codes() {
+fn the_help_lists_options_and_exit_codes() {
     let output = run(&["--help"]);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("the output is text");
@@ -67,12 +67,12 @@
 
 Available options:
         --check          Check the settings and exit
-        --settings=FILE  Settings file, if not the one that the platform names
-        --log=LEVEL      Least level of the log: error, warn, info or debug
+        --settings=FILE  Settings file; overrides the path from the platform
+        --log=LEVEL      Minimum log level: error, warn, info or debug
     -h, --help           Prints help information
     -V, --version        Prints version information
 
-Exit codes: 0 stopped as planned or settings correct, 1 command line faulty, 2 settings faulty, 3 a
+Exit codes: 0 graceful shutdown or valid settings, 1 invalid command line, 2 invalid settings, 3 a
 port cannot be opened
 
 ";
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn settings_that_are_complete_pass_the_check() {
+fn complete_settings_pass_the_check() {
     let file = SettingsFile::write("complete", &settings(8_227));
     let output = run(&["--check", "--settings", file.path()]);
     assert_eq!(output.status.code(), Some(0), "{}", error_of(&output));
 }
 
 #[test]
-fn a_missing_file_and_a_missing_field_are_named() {
+fn the_error_names_a_missing_file_or_field() {
     let output = run(&["--settings", "/nonexistent/node.toml"]);
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_port_in_use_ends_the_start_with_its_own_code() {
+fn a_port_in_use_makes_the_start_fail_with_exit_code_3() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let port = taken.local_addr().expect("an address").port();
     let file = SettingsFile::write("port", &settings(port));
--- a/tests/testsuite/front/endless.rs
+++ b/tests/testsuite/front/endless.rs
@@ -88,7 +88,7 @@
     let platform = Platform::start();
     platform
         .plain
-        .set_behaviour(BackendBehaviour::Endless(EndlessBytes::InterimResponses));
+        .set_behaviour(BackendBehaviour::Endless(EndlessBytes::Interim));
     let callers = platform.front.ports.callers;
     thread::scope(|scope| {
         let mut bad = Vec::new();
@@ -114,7 +114,7 @@
             assert_eq!(status(&response.head), "502", "{}", response.head);
         }
     });
-    check_sent(&platform.plain, EndlessBytes::InterimResponses);
+    check_sent(&platform.plain, EndlessBytes::Interim);
 }
 
 /// Guards against a head or a body without end on a route that is no stream.
--- a/tests/testsuite/front/soak.rs
+++ b/tests/testsuite/front/soak.rs
@@ -202,10 +202,7 @@
         4 => set(fleet, BackendBehaviour::Reset),
         5 => set(fleet, BackendBehaviour::ExtraResponse),
         6 => set(fleet, BackendBehaviour::WrongRequestId),
-        7 => set(
-            fleet,
-            BackendBehaviour::Endless(EndlessBytes::InterimResponses),
-        ),
+        7 => set(fleet, BackendBehaviour::Endless(EndlessBytes::Interim)),
         8 => {
             fleet.store.set_faults(StoreFaults {
                 refuse: Some(503),
