--- a/crates/hibiscus-front/src/config/operators.rs
+++ b/crates/hibiscus-front/src/config/operators.rs
@@ -165,13 +165,13 @@
     /// valid.
     fn read_newest_by_key(&mut self) -> Result<bool> {
         let newest = self.store.newest(config::TOPIC)?;
-        for kept in newest.records {
-            let record = kept.record;
+        for newest_record in newest.records {
+            let record = newest_record.record;
             if record.key != config::KEY {
                 continue;
             }
             let value = record.value.unwrap_or_default();
-            if self.decode_and_update(&value, kept.offset + 1, newest.transfer, 0) {
+            if self.decode_and_update(&value, newest_record.offset + 1, newest.transfer, 0) {
                 self.shared.skip_unreadable(newest.next);
                 return Ok(true);
             }
@@ -213,7 +213,7 @@
         transfer: ReplyTransfer,
         behind: u64,
     ) -> bool {
-        let begun = Instant::now();
+        let started = Instant::now();
         let config = match config::decode(value) {
             Ok(config) => Arc::new(config),
             Err(error) => {
@@ -231,7 +231,7 @@
             bytes: transfer.bytes,
             read: transfer.time,
             behind,
-            decode: begun.elapsed(),
+            decode: started.elapsed(),
             told: Instant::now(),
         };
         let before = self.shared.current();
--- a/crates/hibiscus-front/src/config/shared.rs
+++ b/crates/hibiscus-front/src/config/shared.rs
@@ -116,7 +116,7 @@
     /// Applies a delta that was read from the fleet's topic, if it is based on the
     /// current configuration.
     pub(super) fn apply(&self, change: ConfigChange, arrival: ConfigArrival) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let (base, next) = (change.base, change.next);
         let mut state = self.lock();
         state.published_next = state.published_next.max(next);
@@ -135,7 +135,7 @@
         match change.apply(&current.config) {
             Ok(config) => {
                 let arrival = ConfigArrival {
-                    decode: begun.elapsed(),
+                    decode: started.elapsed(),
                     told: Instant::now(),
                     ..arrival
                 };
--- a/crates/hibiscus-front/src/follow.rs
+++ b/crates/hibiscus-front/src/follow.rs
@@ -87,7 +87,7 @@
             None => store.newest(topic).map(|newest| {
                 reader.call_finished(true, updates);
                 let records = newest.records.into_iter();
-                let records = records.map(|kept| kept.record).collect();
+                let records = records.map(|newest_record| newest_record.record).collect();
                 reader.reset(records, updates);
                 newest.next
             }),
@@ -270,8 +270,8 @@
 ) -> platform::store::Result<()> {
     let newest = store.newest(SNAPSHOT_TOPIC)?;
     let mut snapshots = Vec::new();
-    for kept in newest.records {
-        let record = kept.record;
+    for newest_record in newest.records {
+        let record = newest_record.record;
         let value = record.value.unwrap_or_default();
         match codec::decode::<AccountSnapshot>(&value) {
             Ok(snapshot) => snapshots.push(snapshot),
--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -422,8 +422,8 @@
     state: &Rc<FrontState>,
     updates: &mut UpdateReceiver,
 ) {
-    let begun = tokio::time::Instant::now();
-    let limit = begun + settings.termination_grace.mul_f64(SHUTDOWN_SHARE);
+    let started = tokio::time::Instant::now();
+    let limit = started + settings.termination_grace.mul_f64(SHUTDOWN_SHARE);
     let mut tick = tokio::time::interval(TICK_INTERVAL);
     loop {
         tokio::select! {
@@ -434,7 +434,7 @@
             }
             _at = tick.tick() => state.review_budgets(),
         }
-        if begun.elapsed() < SHUTDOWN_SERVING_TIME {
+        if started.elapsed() < SHUTDOWN_SERVING_TIME {
             continue;
         }
         if !state.is_closing() {
@@ -453,11 +453,11 @@
     }
     // The last connections get a response that this instance has shut down.
     state.close_port();
-    let ended = limit.min(tokio::time::Instant::now() + LAST_CALLERS_TIMEOUT);
+    let stop_time = limit.min(tokio::time::Instant::now() + LAST_CALLERS_TIMEOUT);
     loop {
         // Lets the port's task accept connections from the listen queue.
         tokio::time::sleep(CALLERS_POLL_INTERVAL).await;
-        if state.callers.is_empty() || tokio::time::Instant::now() >= ended {
+        if state.callers.is_empty() || tokio::time::Instant::now() >= stop_time {
             break;
         }
     }
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -46,7 +46,7 @@
         store,
         updates,
         role,
-        begun: Instant::now(),
+        started: Instant::now(),
         registry: None,
         draft: None,
         changes_next: 0,
@@ -81,20 +81,20 @@
     store: &'a StoreClient,
     updates: &'a UpdateSender,
     role: &'a RelayRole,
-    begun: Instant,
+    started: Instant,
     /// The servers; `None` until all entries were read.
     registry: Option<ServerBook>,
     /// Changes that this instance will publish; only set while it is a relay.
     draft: Option<NewsDraft>,
     /// Offset of the next record in the topic of the change sets.
     changes_next: u64,
-    /// Time at which the last change set was received, since `begun`.
+    /// Time at which the last change set was received, since `started`.
     last_received: Duration,
 }
 
 impl ServersFollower<'_> {
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
     /// Reads once, according to the current role, waiting up to `wait` for a record.
@@ -124,8 +124,8 @@
         self.changes_next = self.store.end(NEWS_TOPIC)?;
         let newest = self.store.newest(servers::TOPIC)?;
         let mut entries = Vec::with_capacity(newest.records.len());
-        for kept in newest.records {
-            match decode_change(kept.record) {
+        for newest_record in newest.records {
+            match decode_change(newest_record.record) {
                 ServerChange::Present(entry) => entries.push(entry),
                 ServerChange::Gone(name) => event!(EventCode::EntryUnreadable, "key={name}"),
             }
--- a/tests/testsuite/front.rs
+++ b/tests/testsuite/front.rs
@@ -1,4 +1,4 @@
-//! The daemon on the users' platform, as a process before stand-ins.
+//! The daemon as a process, with test doubles of the platform's store and servers.
 
 mod accounts;
 mod changes;
@@ -24,22 +24,23 @@
 use platform_standins::StoreStandin;
 use platform_standins::front::FrontPorts;
 
-/// Tokens prepaid in these tests.
+/// Prepaid tokens of the team in these tests.
 const PREPAID: u64 = 100_000;
 
-/// Time for news to be in force.
+/// Time limit for a change in the store to be in force.
 const UPDATE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time after which instances that started together know each other.
+/// Time after which instances that started together have found each other.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Give-up limit of waits.
+/// Time limit of waits.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Time between looks of a wait.
+/// Interval at which a wait checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A daemon before a store and one server for each service.
+/// A daemon with a store, one server for each service, and a second server that
+/// is not announced at first.
 struct Platform {
     store: StoreStandin,
     engine: BackendStandin,
@@ -48,7 +49,7 @@
     front: FrontProcess,
 }
 
-/// The configuration `version`, with the routes of `extra` besides.
+/// Returns the configuration `version` with the additional routes `extra`.
 fn config(version: u64, prepaid: u64, extra: &str) -> String {
     let route = |name: &str, prefix: &str, kind: &str, service: &str, more: &str| {
         format!(
@@ -110,7 +111,7 @@
         store.write("keyed.servers", "i-broken", b"{\"service\":7}");
         let front = FrontProcess::start("front-1", FrontPorts::find(), store.address());
         front.wait_ready();
-        // A busy machine may take longer for this than a request waits.
+        // On a busy machine this may take longer than the deadline of a request.
         wait_for("tokens of the budget", || {
             count_logs(std::slice::from_ref(&front), "HS3102 tokens drawn") > 0
         });
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Starts the daemon on the ports that it had, after it has ended.
+    /// Starts the daemon again on the same ports, after it has exited.
     fn restart(&mut self) {
         let ports = self.front.ports;
         self.front = FrontProcess::start("front-1", ports, self.store.address());
@@ -137,15 +138,16 @@
         wait_for(known, || {
             count_logs(std::slice::from_ref(&self.front), known) > 0
         });
-        println!("i-second was known after {:?}", written.elapsed());
+        println!("i-second was registered after {:?}", written.elapsed());
     }
 
-    /// Sends a request to `path` with the headers `more`.
+    /// Sends a request to `path` with the additional headers `more`.
     fn call(&self, path: &str, id: &str, more: &str) -> String {
         self.front.call(&request(path, id, more))
     }
 
-    /// Sends a streamed request of `prompt` tokens and up to `most` more.
+    /// Sends a streamed request with `prompt` prompt tokens and up to `most` output
+    /// tokens.
     fn stream(&self, id: &str, prompt: u64, most: u64) -> String {
         self.call(
             "/stream/x",
@@ -161,7 +163,7 @@
     )
 }
 
-/// Daemons before `store` that serve and know each other.
+/// Starts daemons at `store` and waits until they serve and have found each other.
 fn start_fronts(store: &StoreStandin, instances: usize) -> Vec<FrontProcess> {
     let mut fronts = Vec::new();
     for number in 0..instances {
@@ -176,7 +178,7 @@
     fronts
 }
 
-/// Instances of `fronts` whose log has lines with `text`.
+/// Returns the number of instances whose log contains `text`.
 fn count_logs(fronts: &[FrontProcess], text: &str) -> usize {
     let logs = fronts.iter().map(|front| front.log_file());
     let logs = logs.filter_map(|log| std::fs::read_to_string(log).ok());
--- a/tests/testsuite/front/accounts.rs
+++ b/tests/testsuite/front/accounts.rs
@@ -1,4 +1,4 @@
-//! Budgets over kills, losses of the store and expired records.
+//! Budgets when the daemon is killed, the store is unreachable or records expire.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -13,7 +13,7 @@
 use crate::front::status;
 use crate::front::wait_for;
 
-/// Spends all that `platform` lets a team spend; returns how much.
+/// Sends more requests than the budget allows; returns the number of spent tokens.
 fn spend_all(platform: &Platform, round: usize) -> u64 {
     let mut spent = 0;
     for number in 0..60 {
@@ -23,7 +23,7 @@
     spent
 }
 
-/// Tokens that the instance holds, as its metrics show them.
+/// Returns the number of tokens that the instance holds, from its metrics.
 fn tokens_held(platform: &Platform) -> u64 {
     let operators = SocketAddr::from(([127, 0, 0, 1], platform.front.ports.internal));
     let request = "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_spent_budget_is_refused_and_never_overspent_over_kills() {
+fn a_budget_is_spent_and_never_overspent_when_the_daemon_is_killed() {
     let mut platform = Platform::start();
     let mut prompts = 0;
     let mut refused = false;
@@ -54,12 +54,12 @@
     }
     assert!(refused, "{prompts} tokens were never refused");
     assert!(prompts <= PREPAID, "{prompts} tokens of {PREPAID}");
-    // What a kill takes along is bounded: most of the budget was served.
+    // The loss of a kill is bounded: most of the budget was served.
     assert!(prompts >= PREPAID * 6 / 10, "{prompts} tokens of {PREPAID}");
 }
 
 #[test]
-fn a_fleet_that_was_away_for_longer_than_records_are_kept_goes_on_with_its_snapshots() {
+fn a_daemon_continues_from_snapshots_after_records_have_expired() {
     let mut platform = Platform::start();
     let mut spent = 0;
     for number in 0..4 {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn draws_that_were_lost_with_the_history_are_never_spent_again() {
+fn draws_whose_records_have_expired_are_not_spent_again() {
     let mut platform = Platform::start();
     let mut spent = spend_all(&platform, 0);
     assert!(spent > 0);
@@ -89,10 +89,10 @@
 }
 
 #[test]
-fn spending_goes_on_while_the_store_is_away() {
+fn spending_continues_while_the_store_is_unreachable() {
     let platform = Platform::start();
     assert_eq!(status(&platform.stream("id-0", 50, 15)), "200");
-    // Beside other work a first draw may take longer than a fixed time.
+    // On a busy machine the first draw may take longer than a fixed time.
     wait_for("tokens for the outage", || {
         tokens_held(&platform) >= 10 * 65
     });
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_lost_reply_of_the_store_draws_nothing_twice() {
+fn a_draw_whose_reply_is_lost_is_not_made_twice() {
     let platform = Platform::start();
     platform.store.set_faults(StoreFaults {
         lose_replies: true,
@@ -116,10 +116,10 @@
     });
     thread::sleep(Duration::from_secs(2));
     platform.store.set_faults(StoreFaults::default());
-    // A call whose reply was lost last ends after 0.9 s, and the next append
-    // follows within 0.4 s.
+    // The last call without a reply times out after 0.9 s, and its retry follows
+    // within 0.4 s.
     let mut spent = 0;
-    wait_for("the first answer after the fault", || {
+    wait_for("the first response after the fault", || {
         let response = platform.stream("id-first", 2_500, 15);
         spent += if status(&response) == "200" { 2_515 } else { 0 };
         spent > 0
--- a/tests/testsuite/front/changes.rs
+++ b/tests/testsuite/front/changes.rs
@@ -1,4 +1,4 @@
-//! Large configurations, slow links and changes in quick succession.
+//! Large configurations, slow links and configuration deltas.
 
 use std::fmt::Write;
 use std::thread;
@@ -20,15 +20,15 @@
 use crate::front::wait_for;
 use crate::front::write_server;
 
-/// Routes of a large configuration, which takes some 600 KB.
+/// Number of additional routes of a large configuration, which has about 600 KB.
 const MANY_ROUTES: usize = 2_800;
 
-/// Time after which a read that waits for records has ended.
+/// Time after which a waiting read has returned.
 const READ_END_TIME: Duration = Duration::from_secs(2);
-/// Time after which the instances of a fleet know each other.
+/// Time after which the instances of a fleet have found each other.
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// `count` routes more, and one at the path `/new-VERSION/`.
+/// Returns `count` additional routes, and one with the path `/new-VERSION/`.
 fn more_routes(version: u64, count: usize) -> String {
     let mut text = String::new();
     let names = (0..count).map(|number| format!("extra-{number}"));
@@ -42,31 +42,33 @@
     text
 }
 
-/// Publishes a version with `count` routes more.
+/// Publishes a version with `count` additional routes.
 fn publish(store: &StoreStandin, version: u64, count: usize) {
     let text = config(version, PREPAID, &more_routes(version, count));
     store.write("keyed.op", "config", text.as_bytes());
 }
 
-/// Whether `front` serves the route that `version` added.
+/// Returns whether `front` serves the route that `version` adds.
 fn serves(front: &FrontProcess, version: u64) -> bool {
     let path = format!("/new-{version}/x");
     let response = front.call(&request(&path, &format!("id-{version}"), ""));
     status(&response) == "200"
 }
 
-/// Versions that came into force at `front`, in their order.
+/// Returns the versions that came into force at `front`, in order.
 fn versions_in_force(front: &FrontProcess) -> Vec<u64> {
     let log = std::fs::read_to_string(front.log_file()).unwrap_or_default();
     let lines = log.lines().filter(|line| line.contains("HS2001 "));
-    let words = lines.filter_map(|line| line.split("version=").nth(1)?.split(' ').next());
-    words.filter_map(|word| word.parse().ok()).collect()
+    let versions = lines.filter_map(|line| line.split("version=").nth(1)?.split(' ').next());
+    versions
+        .filter_map(|version| version.parse().ok())
+        .collect()
 }
 
-/// Guards against a transfer that is cut and begun again for ever, since its
-/// time is bounded and its size is not (issue 20).
+/// Guards against a transfer that times out and is repeated for ever because its
+/// duration is limited but its size is not (issue 20).
 #[test]
-fn a_configuration_whose_transfer_takes_longer_than_a_call_comes_into_force() {
+fn a_configuration_with_a_slow_transfer_comes_into_force() {
     let platform = Platform::start();
     platform.store.set_faults(StoreFaults {
         read_rate: Some(200_000),
@@ -77,10 +79,10 @@
     wait_for("version 2", || serves(&platform.front, 2));
 }
 
-/// Guards against an instance that starts and never gets a configuration over
-/// a slow link (issue 20).
+/// Guards against a starting instance that never gets a configuration over a slow
+/// link (issue 20).
 #[test]
-fn an_instance_starts_with_a_configuration_whose_transfer_takes_longer_than_a_call() {
+fn an_instance_starts_with_a_configuration_with_a_slow_transfer() {
     let mut platform = Platform::start();
     publish(&platform.store, 2, MANY_ROUTES);
     platform.front.kill();
@@ -92,10 +94,10 @@
     assert!(serves(&platform.front, 2));
 }
 
-/// Guards against an instance that takes all versions between its own and the
+/// Guards against an instance that applies every version between its own and the
 /// newest, and falls further behind with each (issue 20).
 #[test]
-fn an_instance_that_is_behind_takes_the_newest_version_at_once() {
+fn an_instance_that_is_behind_skips_to_the_newest_version() {
     let platform = Platform::start();
     platform.store.set_faults(StoreFaults {
         refuse: Some(503),
@@ -111,14 +113,17 @@
         versions_in_force(&platform.front).last() == Some(&13)
     });
     let taken = versions_in_force(&platform.front).len() - 1;
-    assert!(taken <= 2, "{taken} versions were taken, 12 were published");
+    assert!(
+        taken <= 2,
+        "{taken} versions were applied, 12 were published"
+    );
 }
 
-/// Topic of the changes that instances publish.
+/// Topic of the configuration deltas.
 const DELTAS_TOPIC: &str = "config-changes";
 
-/// Daemons before a store and a server, which know each other and hold version
-/// 1 with many routes.
+/// Daemons with a store and a server, which have found each other and have
+/// version 1 with many routes in force.
 struct Fleet {
     store: StoreStandin,
     _plain: BackendStandin,
@@ -156,10 +161,10 @@
     }
 }
 
-/// Guards against a fleet whose instances each read each version whole, so
-/// that the store's rate and their links are used up by one change (issue 20).
+/// Guards against a fleet in which every instance reads every version in full, so
+/// that one change saturates the store and its links (issue 20).
 #[test]
-fn a_change_is_read_whole_by_a_few_instances_of_a_fleet() {
+fn only_a_few_instances_of_a_fleet_read_a_version_in_full() {
     let fleet = Fleet::start(10);
     let before = fleet.store.served_bytes("keyed.op");
     let size = config(2, PREPAID, &more_routes(2, MANY_ROUTES)).len();
@@ -168,9 +173,10 @@
     assert!(read <= 5, "the version was read {read} times");
 }
 
-/// Guards against a version that depends on the instances which read it first.
+/// Guards against a version that comes into force only if the relays publish its
+/// delta.
 #[test]
-fn a_version_comes_into_force_though_no_change_can_be_published() {
+fn a_version_comes_into_force_if_no_delta_can_be_published() {
     let fleet = Fleet::start(5);
     fleet.store.set_faults(StoreFaults {
         refuse_appends: true,
@@ -183,18 +189,18 @@
     fleet.publish(3);
 }
 
-/// Guards against a configuration that goes back when a change comes late, and
-/// against records that are no change.
+/// Guards against a configuration that goes back to an older version when a delta
+/// arrives late, and against invalid records in the topic.
 #[test]
-fn late_copies_of_changes_and_records_that_are_none_change_nothing() {
+fn late_deltas_and_invalid_records_have_no_effect() {
     let fleet = Fleet::start(5);
     fleet.publish(2);
-    let change = fleet.store.records(DELTAS_TOPIC);
-    assert!(!change.is_empty());
+    let deltas = fleet.store.records(DELTAS_TOPIC);
+    assert!(!deltas.is_empty());
     fleet.publish(3);
-    fleet.store.append(DELTAS_TOPIC, change);
-    let garbage = vec![Vec::new(), vec![255; 40], b"no change".to_vec()];
-    fleet.store.append(DELTAS_TOPIC, garbage);
+    fleet.store.append(DELTAS_TOPIC, deltas);
+    let invalid = vec![Vec::new(), vec![255; 40], b"no change".to_vec()];
+    fleet.store.append(DELTAS_TOPIC, invalid);
     wait_for("the records", || count_logs(&fleet.fronts, "HS2012 ") == 5);
     for front in &fleet.fronts {
         assert!(serves(front, 3));
@@ -203,10 +209,10 @@
     fleet.publish(4);
 }
 
-/// Guards against an instance that follows changes only and misses those which
-/// the store has dropped.
+/// Guards against an instance that only follows deltas and misses those that the
+/// store has deleted.
 #[test]
-fn changes_that_the_store_has_dropped_are_made_up_for() {
+fn a_version_comes_into_force_if_earlier_deltas_were_deleted() {
     let fleet = Fleet::start(5);
     fleet.publish(2);
     fleet.store.expire_history(DELTAS_TOPIC);
@@ -214,13 +220,13 @@
     fleet.publish(3);
 }
 
-/// A configuration that this release cannot read.
-const UNREADABLE: &[u8] = br#"{"version":9,"routes":"none"}"#;
+/// A configuration that this release cannot decode.
+const INVALID_CONFIG: &[u8] = br#"{"version":9,"routes":"none"}"#;
 
-/// Guards against an instance that is behind and passes over the versions
-/// before one that it cannot read (issue 20).
+/// Guards against an instance that is behind and skips the versions before one
+/// that it cannot decode (issue 20).
 #[test]
-fn a_version_before_an_unreadable_one_comes_into_force() {
+fn a_version_before_an_invalid_one_comes_into_force() {
     let platform = Platform::start();
     platform.store.set_faults(StoreFaults {
         refuse: Some(503),
@@ -228,28 +234,28 @@
     });
     thread::sleep(READ_END_TIME);
     publish(&platform.store, 2, 1);
-    platform.store.write("keyed.op", "config", UNREADABLE);
+    platform.store.write("keyed.op", "config", INVALID_CONFIG);
     platform.store.set_faults(StoreFaults::default());
     wait_for("version 2", || serves(&platform.front, 2));
     publish(&platform.store, 10, 1);
     wait_for("version 10", || serves(&platform.front, 10));
 }
 
-/// Guards against an instance that starts with a configuration that it cannot
-/// read and asks for it again without a pause (issue 20).
+/// Guards against a starting instance that reads an invalid configuration again
+/// and again without a pause (issue 20).
 #[test]
-fn an_unreadable_configuration_is_read_a_few_times_by_an_instance_that_starts() {
+fn a_starting_instance_reads_an_invalid_configuration_only_a_few_times() {
     let store = StoreStandin::start();
     let plain = BackendStandin::start(BackendBehaviour::Respond);
     write_server(&store, "i-plain", "plain", &plain, "ready");
-    store.write("keyed.op", "config", UNREADABLE);
+    store.write("keyed.op", "config", INVALID_CONFIG);
     let front = FrontProcess::start("front-1", FrontPorts::find(), store.address());
     wait_for("the log", || {
         let log = std::fs::read_to_string(front.log_file()).unwrap_or_default();
         log.contains("HS2002 ")
     });
     thread::sleep(SETTLE_TIME);
-    let reads = store.served_bytes("keyed.op") / UNREADABLE.len();
+    let reads = store.served_bytes("keyed.op") / INVALID_CONFIG.len();
     assert!(reads <= 20, "the configuration was read {reads} times");
     publish(&store, 10, 1);
     wait_for("version 10", || serves(&front, 10));
--- a/tests/testsuite/front/draining.rs
+++ b/tests/testsuite/front/draining.rs
@@ -1,5 +1,5 @@
-//! Servers that say in their answers that they leave, or that they want no
-//! requests for some time.
+//! Servers whose responses say that they are draining, or that they want a pause
+//! (`Retry-After`).
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
@@ -23,23 +23,23 @@
 use crate::front::status;
 use crate::front::wait_for;
 
-/// The header of a server that leaves.
+/// Header of a server that is draining.
 const DRAINING: &str = "Server-Leaving: 1\r\n";
-/// Instances of a fleet that is more than each of them watches.
+/// Size of a fleet: too large for each instance to monitor all others.
 const INSTANCES: usize = 10;
-/// Variable with another number of instances, for a run by hand.
+/// Environment variable with another number of instances, for manual runs.
 const INSTANCES_VARIABLE: &str = "HIBISCUS_TEST_INSTANCES";
-/// Callers of one instance at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 6;
-/// Time after the first answer with [`DRAINING`] in which requests may still
+/// Time after the first response with [`DRAINING`] in which requests may still
 /// arrive: `drain-timeout-ms` of the tests' settings.
 const DRAIN_LIMIT: Duration = Duration::from_secs(2);
-/// Time after a refusal in which what was on its way may still arrive.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
-/// Requests that may arrive between that and the end of a pause.
+/// Time after a refusal in which requests that were already sent may arrive.
+const IN_TRANSIT_TIME: Duration = Duration::from_millis(500);
+/// Number of requests that may arrive between that time and the end of a pause.
 const PAUSED_LIMIT: usize = 2;
 
-/// Callers that send to `path` at all `fronts` until they are stopped.
+/// Callers that send requests to `path` at all `fronts` until they are stopped.
 struct SteadyCallers<'a> {
     fronts: &'a [FrontProcess],
     path: &'a str,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sends one request after the other; the answers with their times.
+    /// Sends one request after another; returns the responses with their times.
     fn send(&self, first: usize) -> Vec<(Instant, String)> {
         let mut responses = Vec::new();
         for number in first.. {
@@ -71,7 +71,7 @@
         responses
     }
 
-    /// Lets [`CALLERS`] send while `events` run; all answers.
+    /// Runs [`CALLERS`] callers while `events` runs; returns all responses.
     fn during(&self, events: impl FnOnce()) -> Vec<(Instant, String)> {
         thread::scope(|scope| {
             let callers: Vec<_> = (0..CALLERS)
@@ -87,7 +87,7 @@
     }
 }
 
-/// Refuses all calls of the store.
+/// Makes the store reject all calls.
 fn make_store_unavailable(store: &StoreStandin) {
     store.set_faults(StoreFaults {
         refuse: Some(503),
@@ -95,7 +95,7 @@
     });
 }
 
-/// Arrivals at `server` later than `limit` after `from`, and before `until`.
+/// Returns the number of arrivals at `server` after `from` and before `until`.
 fn arrivals_between(server: &BackendStandin, from: Instant, until: Instant) -> usize {
     let arrivals = server.arrivals();
     arrivals
@@ -104,7 +104,7 @@
         .count()
 }
 
-/// Fails when an answer has another status than 200.
+/// Asserts that all responses have the status 200.
 fn check_served(responses: &[(Instant, String)]) {
     let failed: Vec<_> = responses
         .iter()
@@ -129,7 +129,7 @@
     Instant::now() + Duration::from_secs(3_600)
 }
 
-/// Writes the entry of `server`, which began at `born`.
+/// Writes the entry of `server` with the start time `born`.
 fn write_start(store: &StoreStandin, name: &str, server: &BackendStandin, slots: u32, born: u64) {
     let entry = format!(
         r#"{{"service":"plain","address":"{}","zone":"a","version":"v1","slots":{slots},"state":"ready","cold-remaining-ms":0,"sequence":1,"born":{born}}}"#,
@@ -138,11 +138,11 @@
     store.write("keyed.servers", name, entry.as_bytes());
 }
 
-/// Guards against requests that go to a server whose answers say that it
-/// leaves, while its entry says that it serves (issue 27).
+/// Guards against requests to a server whose responses say that it is draining
+/// while its entry says that it is ready (issue 27).
 #[test]
-fn a_server_that_says_in_its_answers_that_it_leaves_gets_nothing_more() {
-    for (path, away) in [
+fn a_server_whose_responses_say_that_it_is_draining_gets_no_more_requests() {
+    for (path, unreachable) in [
         ("/once/x", false),
         ("/often/x", false),
         ("/once/x", true),
@@ -152,29 +152,29 @@
         platform.add_second_server();
         let fronts = std::slice::from_ref(&platform.front);
         let callers = SteadyCallers::new(fronts, path);
-        let mut told = Instant::now();
+        let mut draining_since = Instant::now();
         let responses = callers.during(|| {
             wait_for("both servers to be used", || {
                 !platform.plain.arrivals().is_empty() && !platform.second.arrivals().is_empty()
             });
-            if away {
+            if unreachable {
                 make_store_unavailable(&platform.store);
             }
             platform.plain.set_extra_headers(DRAINING);
-            told = Instant::now();
+            draining_since = Instant::now();
             thread::sleep(DRAIN_LIMIT + Duration::from_millis(1_500));
         });
-        let late = arrivals_between(&platform.plain, told + DRAIN_LIMIT, far_future());
-        println!("{path} store away {away}: {late} late arrivals");
-        assert_eq!(late, 0, "{path}, store away: {away}");
+        let late = arrivals_between(&platform.plain, draining_since + DRAIN_LIMIT, far_future());
+        println!("{path} store unreachable {unreachable}: {late} late arrivals");
+        assert_eq!(late, 0, "{path}, store unreachable: {unreachable}");
         check_served(&responses);
     }
 }
 
-/// Guards against the same with a stream's head, and against running streams
-/// that are cut for it.
+/// Guards against requests to a draining server that says so in the head of a
+/// stream, and against running streams that are cut for it.
 #[test]
-fn a_stream_whose_head_says_that_the_server_leaves_runs_on_to_its_end() {
+fn a_stream_whose_head_says_that_the_server_is_draining_runs_to_its_end() {
     let platform = Platform::start();
     platform
         .engine
@@ -188,10 +188,10 @@
     assert_eq!(platform.engine.requests().len(), 1);
 }
 
-/// A failure says it as well as a success; the caller that gets it is told at
-/// once that nothing ran when no other server is left.
+/// An error response counts as well as a success. When no other server remains,
+/// the caller gets an immediate response that the request did not run.
 #[test]
-fn a_refusal_at_once_follows_when_all_servers_of_a_service_leave() {
+fn requests_are_refused_at_once_when_all_servers_of_a_service_are_draining() {
     let platform = Platform::start();
     platform.add_second_server();
     platform.plain.set_behaviour(BackendBehaviour::Fail);
@@ -203,23 +203,23 @@
     }
     let arrived = platform.plain.requests().len() + platform.second.requests().len();
     assert_eq!(arrived, 2);
-    let begun = Instant::now();
+    let started = Instant::now();
     let response = platform.call("/often/x", "id-3", "");
     assert_eq!(status(&response), "503", "{response}");
     assert!(
         response.to_lowercase().contains("retry-after: "),
         "{response}"
     );
-    assert!(begun.elapsed() < Duration::from_secs(1), "{response}");
+    assert!(started.elapsed() < Duration::from_secs(1), "{response}");
     let arrived = platform.plain.requests().len() + platform.second.requests().len();
     assert_eq!(arrived, 2);
 }
 
-/// Guards against a server that comes back into use since its entry was
-/// written anew, or lapsed and returned, and against one that started anew and
-/// stays avoided.
+/// Guards against a draining server that is used again because its entry was
+/// rewritten, or expired and returned, and against a restarted server that is
+/// still avoided.
 #[test]
-fn a_leaving_server_is_used_again_when_it_has_started_anew_and_not_before() {
+fn a_draining_server_is_used_again_after_its_restart_and_not_before() {
     let platform = Platform::start();
     platform.plain.set_extra_headers(DRAINING);
     assert_eq!(status(&platform.call("/once/x", "id-1", "")), "200");
@@ -241,46 +241,46 @@
     assert_eq!(status(&platform.call("/once/x", "id-6", "")), "200");
     platform.plain.set_extra_headers("");
     write_start(&platform.store, "i-other", &platform.plain, 8, 6);
-    wait_for("another server at the address to be used", || {
+    wait_for("another server at the same address to be used", || {
         status(&platform.call("/once/x", "id-7", "")) == "200"
     });
 }
 
-/// Guards against an instance that learns only by its own requests that a
-/// server leaves, while the store is away.
+/// Guards against instances that detect a draining server only by their own
+/// requests while the store is unreachable.
 #[test]
-fn what_one_instance_learns_of_a_leaving_server_holds_for_all() {
+fn a_draining_server_that_one_instance_detects_is_avoided_by_all() {
     let instances = std::env::var(INSTANCES_VARIABLE);
     let instances = instances.ok().and_then(|text| text.parse().ok());
     let instances = instances.unwrap_or(INSTANCES);
     let store = StoreStandin::start_for(instances);
     store.write("keyed.op", "config", config(1, PREPAID, "").as_bytes());
-    let leaving = BackendStandin::start(BackendBehaviour::Respond);
+    let draining = BackendStandin::start(BackendBehaviour::Respond);
     let staying = BackendStandin::start(BackendBehaviour::Respond);
-    write_start(&store, "i-0", &leaving, 8, 5);
+    write_start(&store, "i-0", &draining, 8, 5);
     write_start(&store, "i-1", &staying, 8, 5);
     let fronts = start_fronts(&store, instances);
     make_store_unavailable(&store);
-    leaving.set_extra_headers(DRAINING);
+    draining.set_extra_headers(DRAINING);
     wait_for("the server to be used", || {
         let response = fronts[0].call(&request("/often/x", "id-1", ""));
         assert_eq!(status(&response), "200", "{response}");
-        !leaving.arrivals().is_empty()
+        !draining.arrivals().is_empty()
     });
-    let told = Instant::now();
+    let draining_since = Instant::now();
     thread::sleep(DRAIN_LIMIT);
     let callers = SteadyCallers::new(&fronts, "/once/x");
     let responses = callers.during(|| thread::sleep(Duration::from_secs(2)));
-    let late = arrivals_between(&leaving, told + DRAIN_LIMIT, far_future());
+    let late = arrivals_between(&draining, draining_since + DRAIN_LIMIT, far_future());
     println!("{instances} instances: {late} late arrivals");
     assert_eq!(late, 0);
     check_served(&responses);
 }
 
-/// Guards against requests that reach a server in the time for which it wants
-/// none, and against callers who are refused meanwhile (issue 27).
+/// Guards against requests that reach a server during its requested pause, and
+/// against callers who are refused meanwhile (issue 27).
 #[test]
-fn a_server_that_asks_for_a_pause_gets_it_and_callers_notice_nothing() {
+fn a_server_gets_its_requested_pause_and_callers_are_served_meanwhile() {
     for (path, pause, frozen) in [
         ("/once/x", "3", false),
         ("/often/x", "2.5", false),
@@ -314,7 +314,7 @@
             thread::sleep(length + Duration::from_secs(1));
         });
         let refused = refused.expect("a refusal");
-        let early = arrivals_between(&platform.plain, refused + ON_THE_WAY, refused + length);
+        let early = arrivals_between(&platform.plain, refused + IN_TRANSIT_TIME, refused + length);
         println!("{path} pause {pause}: {early} arrivals within it");
         assert!(early <= PAUSED_LIMIT, "{path}: {early} within the pause");
         let after = arrivals_between(&platform.plain, refused + length, far_future());
@@ -323,10 +323,10 @@
     }
 }
 
-/// Guards against callers who lose a share of their requests to a server that
-/// refuses all that it gets, with a value that is no time or without one.
+/// Guards against failed requests of callers because one server refuses all its
+/// requests, with an invalid or an empty `Retry-After`.
 #[test]
-fn a_server_that_refuses_all_that_it_gets_costs_callers_nothing() {
+fn callers_are_served_when_one_server_refuses_all_requests() {
     for value in [
         "",
         "soon",
@@ -352,9 +352,9 @@
     }
 }
 
-/// A time beyond what the clock can count holds until the server starts anew.
+/// A `Retry-After` beyond the range of the clock lasts until the server restarts.
 #[test]
-fn a_pause_without_an_end_holds_until_the_server_starts_anew() {
+fn an_endless_pause_lasts_until_the_server_restarts() {
     let platform = Platform::start();
     platform.add_second_server();
     platform.plain.set_extra_headers("Retry-After: 1e300\r\n");
@@ -381,27 +381,27 @@
     check_served(&responses);
 }
 
-/// The time that `response` tells its caller to wait, in seconds.
+/// Returns the `Retry-After` time of `response` in seconds.
 fn retry_after(response: &str) -> f64 {
     let lower = response.to_lowercase();
     let value = lower.split("retry-after: ").nth(1);
     let value = value.and_then(|rest| rest.split("\r\n").next());
     value
         .and_then(|value| value.parse().ok())
-        .unwrap_or_else(|| panic!("no time in {response}"))
+        .unwrap_or_else(|| panic!("no retry-after in {response}"))
 }
 
-/// Guards against callers who are told to come back before there is a chance,
-/// or all at the same moment.
+/// Guards against a `Retry-After` to callers that ends before the first pause of a
+/// server, or that makes all callers return at the same moment.
 #[test]
-fn callers_are_told_when_the_first_server_is_back_when_all_pause() {
+fn callers_are_told_to_retry_after_the_first_pause_when_all_servers_pause() {
     let platform = Platform::start();
     platform.add_second_server();
     for (server, pause) in [(&platform.plain, 4), (&platform.second, 6)] {
         server.set_extra_headers(&format!("Retry-After: {pause}\r\n"));
         server.set_behaviour(BackendBehaviour::Refuse);
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     wait_for("both servers to pause", || {
         let response = platform.call("/often/x", "id-1", "");
         assert_eq!(status(&response), "503", "{response}");
@@ -409,20 +409,23 @@
     });
     let first = platform.plain.arrivals()[0] + Duration::from_secs(4);
     let arrived = platform.plain.arrivals().len() + platform.second.arrivals().len();
-    let mut told = Vec::new();
+    let mut retry_times = Vec::new();
     for number in 0..20 {
-        let asked = Instant::now();
+        let sent = Instant::now();
         let response = platform.call("/once/x", &format!("id-{number}"), "");
         assert_eq!(status(&response), "503", "{response}");
-        let back = asked + Duration::from_secs_f64(retry_after(&response));
-        // The refusal reached the instance a little later than it was made.
+        let back = sent + Duration::from_secs_f64(retry_after(&response));
+        // The pause starts when the refusal reaches the instance, a little later.
         assert!(back + Duration::from_millis(50) >= first, "{response}");
         assert!(back <= first + Duration::from_millis(1_500), "{response}");
-        told.push(back - begun);
+        retry_times.push(back - started);
     }
-    told.sort();
-    told.dedup_by_key(|back| back.as_millis() / 20);
-    assert!(told.len() > 5, "all return at the same moment: {told:?}");
+    retry_times.sort();
+    retry_times.dedup_by_key(|back| back.as_millis() / 20);
+    assert!(
+        retry_times.len() > 5,
+        "all return at the same moment: {retry_times:?}"
+    );
     let now = platform.plain.arrivals().len() + platform.second.arrivals().len();
-    assert_eq!(now, arrived, "a server was asked within its pause");
+    assert_eq!(now, arrived, "a server got a request during its pause");
 }
--- a/tests/testsuite/front/ending.rs
+++ b/tests/testsuite/front/ending.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers end.
+//! Requests that crash servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,32 +21,32 @@
 use crate::front::start_fronts;
 use crate::front::status;
 
-/// Instances of the fleet; more than each of them watches all others of.
+/// Size of the fleet: too large for each instance to monitor all others.
 const INSTANCES: usize = 10;
-/// Variable with another number of instances, for a run by hand.
+/// Environment variable with another number of instances, for manual runs.
 const INSTANCES_VARIABLE: &str = "HIBISCUS_TEST_INSTANCES";
-/// Servers of the service.
+/// Number of servers of the service.
 const SERVERS: usize = 9;
-/// The body under which servers end.
+/// Request body that crashes servers.
 pub(super) const CRASH_BODY: &str = "fatal body";
-/// How often a caller sends such a request again.
+/// Number of times that a caller sends a crashing request.
 const REPEATS: usize = 30;
-/// Pause between two of them.
+/// Pause between two crashing requests of a caller.
 const PAUSE: Duration = Duration::from_millis(400);
-/// Time after the third end by which all instances must know: the users'
-/// `stable-window-ms`.
+/// Time after the third crash within which all instances must quarantine the
+/// request: the users' `stable-window-ms`.
 const QUARANTINE_LIMIT: Duration = Duration::from_secs(3);
-/// How often such a request may reach a server after that.
+/// Number of times that the request may reach a server after that.
 const LATE_ARRIVALS_LIMIT: usize = 3;
 
-/// Daemons before a store and servers that end under one body.
+/// Daemons with a store and servers that crash on [`CRASH_BODY`].
 pub(super) struct CrashFleet {
     pub(super) store: Arc<StoreStandin>,
     pub(super) servers: Vec<BackendStandin>,
     pub(super) fronts: Vec<FrontProcess>,
 }
 
-/// Writes the entry of the server `name`, which began now.
+/// Writes the entry of the server `name` with the current time as its start.
 fn write_start(store: &StoreStandin, service: &str, name: &str, address: SocketAddr) {
     let began = SystemTime::now().duration_since(UNIX_EPOCH);
     let began = began.expect("the clock is set").as_millis();
@@ -56,7 +56,7 @@
     store.write("keyed.servers", name, entry.as_bytes());
 }
 
-/// Instances of the fleet of this run.
+/// Returns the size of the fleet in this run.
 fn instances() -> usize {
     let text = std::env::var(INSTANCES_VARIABLE);
     text.ok()
@@ -69,7 +69,7 @@
         Self::start_for("plain", instances)
     }
 
-    /// Starts `instances` daemons before servers of `service`.
+    /// Starts `instances` daemons with servers of `service`.
     fn start_for(service: &'static str, instances: usize) -> Self {
         let store = Arc::new(StoreStandin::start_for(instances));
         store.write("keyed.op", "config", config(1, PREPAID, "").as_bytes());
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends `body` to `path` at the instance `number`; the status.
+    /// Sends `body` to `path` at the instance `number`; returns the status.
     pub(super) fn send(&self, number: usize, path: &str, body: &str) -> String {
         let front = &self.fronts[number % self.fronts.len()];
         let id = fastrand::u64(..);
@@ -103,8 +103,8 @@
         status(&front.call(&request)).to_owned()
     }
 
-    /// Sends the fatal request `times` to one instance after the other; the
-    /// statuses.
+    /// Sends the crashing request `times` times, to one instance after another;
+    /// returns the statuses.
     pub(super) fn repeat(&self, path: &str, times: usize) -> Vec<String> {
         let mut statuses = Vec::new();
         for number in 0..times {
@@ -114,7 +114,7 @@
         statuses
     }
 
-    /// When servers ended, in order.
+    /// Returns the times of all server crashes, in order.
     pub(super) fn crash_times(&self) -> Vec<Instant> {
         let times = self.servers.iter().flat_map(BackendStandin::crash_times);
         let mut times: Vec<Instant> = times.collect();
@@ -122,8 +122,8 @@
         times
     }
 
-    /// Fatal requests that reached a server later than [`QUARANTINE_LIMIT`] after
-    /// the third end.
+    /// Returns the number of crashing requests that reached a server later than
+    /// [`QUARANTINE_LIMIT`] after the third crash.
     fn late(&self) -> usize {
         let Some(third) = self.crash_times().get(2).copied() else {
             return 0;
@@ -135,17 +135,17 @@
         arrivals.filter(|at| *at > third + QUARANTINE_LIMIT).count()
     }
 
-    /// Fails when the fatal request reached servers too often.
+    /// Asserts that the crashing request reached servers only a few times.
     fn check(&self, statuses: &[String]) {
-        let (ended, late) = (self.crash_times().len(), self.late());
-        println!("servers ended {ended}, later than 3 s after the third {late}: {statuses:?}");
+        let (crashes, late) = (self.crash_times().len(), self.late());
+        println!("{crashes} server crashes, {late} later than 3 s after the third: {statuses:?}");
         assert!(
             late <= LATE_ARRIVALS_LIMIT,
-            "{ended} servers ended, {late} of them later than 3 s after the third: {statuses:?}"
+            "{crashes} server crashes, {late} later than 3 s after the third: {statuses:?}"
         );
     }
 
-    /// Starts the instance `number` again on its ports.
+    /// Starts the instance `number` again on the same ports.
     pub(super) fn restart(&mut self, number: usize) {
         let ports = self.fronts[number].ports;
         let name = format!("front-{number}");
@@ -153,27 +153,27 @@
     }
 }
 
-/// Guards against a request under which servers end being sent on and on
+/// Guards against a crashing request that is sent to one server after another
 /// (issue 23).
 #[test]
-fn an_idempotent_request_under_which_servers_end_is_not_sent_on_and_on() {
+fn an_idempotent_request_that_crashes_servers_is_quarantined() {
     let fleet = CrashFleet::start(instances());
     let statuses = fleet.repeat("/often/x", REPEATS);
     fleet.check(&statuses);
 }
 
-/// Guards against the same for requests that may run once (issue 23).
+/// Guards against the same for requests that may run only once (issue 23).
 #[test]
-fn a_request_that_may_run_once_and_ends_servers_is_not_sent_on_and_on() {
+fn a_request_that_may_run_once_and_crashes_servers_is_quarantined() {
     let fleet = CrashFleet::start(instances());
     let statuses = fleet.repeat("/once/x", REPEATS);
     fleet.check(&statuses);
 }
 
-/// Guards against the same for a stream that ends its server after its first
+/// Guards against the same for a stream that crashes its server after the first
 /// event (issue 23).
 #[test]
-fn a_stream_that_ends_servers_after_its_first_event_is_not_sent_on_and_on() {
+fn a_stream_that_crashes_servers_after_its_first_event_is_quarantined() {
     let fleet = CrashFleet::start_for("engine", instances());
     for server in &fleet.servers {
         server.crash_after_event_on(CRASH_BODY.as_bytes());
@@ -182,10 +182,9 @@
     fleet.check(&statuses);
 }
 
-/// Guards against the same while nothing can be written to the store
-/// (issue 23).
+/// Guards against the same while the store is unreachable (issue 23).
 #[test]
-fn a_request_that_ends_servers_is_not_sent_on_and_on_while_the_store_is_away() {
+fn a_request_that_crashes_servers_is_quarantined_while_the_store_is_unreachable() {
     let fleet = CrashFleet::start(instances());
     fleet.store.set_faults(StoreFaults {
         refuse: Some(503),
@@ -195,15 +194,15 @@
     fleet.check(&statuses);
 }
 
-/// Guards against forgetting the request when the fleet is started again in
-/// turn, and when all of it is killed (issue 23).
+/// Guards against a quarantine that is lost when the instances restart one after
+/// another, or when all are killed at once (issue 23).
 #[test]
-fn a_request_that_ends_servers_is_not_sent_on_by_processes_that_start_later() {
+fn a_request_that_crashes_servers_stays_quarantined_after_restarts() {
     let mut fleet = CrashFleet::start(3);
     let mut statuses = fleet.repeat("/often/x", 12);
     for number in 0..3 {
         fleet.fronts[number].signal(Signal::SIGTERM);
-        let _ended = fleet.fronts[number].wait(Duration::from_secs(12));
+        let _status = fleet.fronts[number].wait(Duration::from_secs(12));
         fleet.restart(number);
         fleet.fronts[number].wait_ready();
     }
@@ -221,9 +220,10 @@
     fleet.check(&statuses);
 }
 
-/// Guards against callers that hold the same request at once (issue 23).
+/// Guards against a crashing request that several callers send at the same time
+/// (issue 23).
 #[test]
-fn a_request_of_several_callers_that_ends_servers_is_not_sent_on_and_on() {
+fn a_request_of_several_callers_that_crashes_servers_is_quarantined() {
     let fleet = CrashFleet::start(instances());
     let statuses = thread::scope(|scope| {
         let callers: Vec<_> = (0..4)
@@ -247,14 +247,14 @@
     fleet.check(&statuses);
 }
 
-/// Guards against condemning a request that many callers send and that is at
-/// servers which end for other reasons (issue 23).
+/// Guards against the quarantine of a request that many callers send and that is
+/// in progress at servers which crash for other reasons (issue 23).
 #[test]
-fn a_popular_request_at_servers_that_end_together_is_still_served() {
+fn a_popular_request_at_servers_that_crash_together_is_still_served() {
     let fleet = CrashFleet::start(instances());
     let stop = Instant::now() + Duration::from_secs(9);
     let served = thread::scope(|scope| {
-        let lookups: Vec<_> = (0..6)
+        let callers: Vec<_> = (0..6)
             .map(|caller| {
                 let fleet = &fleet;
                 scope.spawn(move || {
@@ -274,27 +274,27 @@
                 server.crash();
             }
         }
-        let joined = lookups
+        let joined = callers
             .into_iter()
-            .map(|lookup| lookup.join().expect("a caller ends"));
+            .map(|caller| caller.join().expect("a caller ends"));
         joined.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
     });
-    println!("served while servers ended: {served:?}");
+    println!("sent and served while servers crashed: {served:?}");
     assert!(served.1 * 100 >= served.0 * 95, "{served:?}");
     thread::sleep(Duration::from_millis(2_000));
     for number in 0..30 {
         let status = fleet.send(number, "/often/x", "");
         assert_eq!(
             status, "200",
-            "request {number} after the servers were back"
+            "request {number} after the servers restarted"
         );
     }
 }
 
-/// Guards against taking a server that resets single answers for one that
-/// ended (issue 23).
+/// Guards against treating a server that resets single connections as crashed
+/// (issue 23).
 #[test]
-fn a_request_at_servers_that_reset_single_answers_is_still_served() {
+fn a_request_at_servers_that_reset_single_connections_is_still_served() {
     let fleet = CrashFleet::start(instances());
     for server in &fleet.servers {
         server.set_behaviour(BackendBehaviour::Reset);
@@ -312,32 +312,35 @@
     }
 }
 
-/// Guards against every instance finding out anew which servers have ended
-/// (issue 23).
+/// Guards against every instance having to detect by itself which servers have
+/// crashed (issue 23).
 #[test]
-fn servers_that_one_instance_found_ended_are_avoided_by_the_others() {
+fn servers_that_one_instance_found_crashed_are_avoided_by_the_others() {
     let fleet = CrashFleet::start(instances());
     for server in &fleet.servers[..6] {
         server.crash_for(Duration::from_secs(20));
     }
-    // Lines are gathered for 100 ms before they are written.
-    let told = Duration::from_millis(500);
+    // Log lines are buffered for up to 100 ms.
+    let log_delay = Duration::from_millis(500);
     for _request in 0..40 {
         assert_eq!(fleet.send(0, "/often/x", ""), "200");
     }
-    thread::sleep(told);
+    thread::sleep(log_delay);
     for number in 1..fleet.fronts.len() {
         for _request in 0..10 {
             assert_eq!(fleet.send(number, "/often/x", ""), "200");
         }
-        thread::sleep(told);
+        thread::sleep(log_delay);
     }
     let mut found = 0;
     for number in 0..6 {
-        let ended = format!("server=i-{number} cause=Closed");
-        let instances = count_logs(&fleet.fronts, &ended);
-        assert!(instances <= 1, "{instances} instances found i-{number}");
+        let line = format!("server=i-{number} cause=Closed");
+        let instances = count_logs(&fleet.fronts, &line);
+        assert!(
+            instances <= 1,
+            "{instances} instances detected the crash of i-{number}"
+        );
         found += instances;
     }
-    assert!(found > 0, "no instance found any server closed");
+    assert!(found > 0, "no instance detected a crashed server");
 }
--- a/tests/testsuite/front/endless.rs
+++ b/tests/testsuite/front/endless.rs
@@ -1,4 +1,4 @@
-//! Servers that send bytes without end in place of an answer.
+//! Servers that send endless bytes instead of a valid response.
 
 use std::io::Read;
 use std::io::Write;
@@ -16,26 +16,26 @@
 use crate::front::request;
 use crate::front::status;
 
-/// Bytes that a server may send on one connection of what is no answer: what
-/// the system's buffers take at the most, 4 MiB to send and 6 MiB to receive.
+/// Largest number of invalid bytes that a server can send on one connection: the
+/// system's largest buffers, 4 MiB to send and 6 MiB to receive.
 const CONNECTION_LIMIT: u64 = 10 * 1024 * 1024;
-/// Bytes after which a caller reads no further.
+/// Number of bytes after which a caller stops reading.
 const READ_LIMIT: usize = 512 * 1024 * 1024;
-/// Time after which a caller reads no further; its deadline is 2.5 s.
+/// Time after which a caller stops reading; its deadline is 2.5 s.
 const READ_TIME: Duration = Duration::from_secs(10);
 
-/// What a caller got.
+/// What a caller received.
 struct ReadResponse {
-    /// Its first bytes.
+    /// First bytes of the response.
     head: String,
     bytes: usize,
-    /// Whether the instance ended it.
+    /// Whether the instance ended the connection.
     ended: bool,
-    /// Its last bytes.
+    /// Last bytes of the response.
     tail: Vec<u8>,
 }
 
-/// Sends `request` and reads the answer, of which little is kept.
+/// Sends `request` and reads the response without keeping its body.
 fn read_response(address: SocketAddr, request: &str) -> ReadResponse {
     let mut stream = TcpStream::connect(address).expect("a connection");
     let limit = Some(READ_TIME);
@@ -49,12 +49,12 @@
         ended: false,
         tail: Vec::new(),
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut buffer = vec![0; 256 * 1024];
-    while response.bytes < READ_LIMIT && begun.elapsed() < READ_TIME {
+    while response.bytes < READ_LIMIT && started.elapsed() < READ_TIME {
         let Ok(read) = stream.read(&mut buffer) else {
-            // A time-out, or a connection that was reset.
-            response.ended = begun.elapsed() < READ_TIME;
+            // The read timed out or the connection was reset.
+            response.ended = started.elapsed() < READ_TIME;
             break;
         };
         if read == 0 {
@@ -70,7 +70,7 @@
     response
 }
 
-/// Fails when `server` sent more than the system's buffers hold.
+/// Asserts that `server` sent no more than the system's buffers hold.
 fn check_sent(server: &BackendStandin, bytes: EndlessBytes) {
     let connections = server.connections() as u64;
     let sent = server.endless_bytes();
@@ -80,11 +80,10 @@
     );
 }
 
-/// Guards against interim answers without end that load the instance until
-/// the deadline, and that sound requests of another service wait for
-/// (issue 23).
+/// Guards against endless interim responses that load the instance until the
+/// deadline and delay valid requests of another service (issue 23).
 #[test]
-fn interim_answers_without_end_are_given_up_and_hold_nobody_else_up() {
+fn endless_interim_responses_fail_and_do_not_delay_other_requests() {
     let platform = Platform::start();
     platform
         .plain
@@ -103,11 +102,11 @@
                 "Token-Counts: 10,15\r\n",
             )
             .replace("Deadline-Ms: 2500", "Deadline-Ms: 1000");
-            let begun = Instant::now();
-            let sound = platform.front.call(&short);
-            println!("a sound request took {:?}", begun.elapsed());
-            assert_eq!(status(&sound), "200", "{sound}");
-            assert!(sound.ends_with("0\r\n\r\n"), "{sound}");
+            let started = Instant::now();
+            let valid = platform.front.call(&short);
+            println!("a valid request took {:?}", started.elapsed());
+            assert_eq!(status(&valid), "200", "{valid}");
+            assert!(valid.ends_with("0\r\n\r\n"), "{valid}");
         }
         for bad in bad {
             let response = bad.join().expect("a caller ends");
@@ -117,9 +116,9 @@
     check_sent(&platform.plain, EndlessBytes::Interim);
 }
 
-/// Guards against a head or a body without end on a route that is no stream.
+/// Guards against an endless head or body on a route without streaming.
 #[test]
-fn an_answer_without_end_on_a_route_that_is_no_stream_is_given_up() {
+fn an_endless_response_on_a_route_without_streaming_fails() {
     for bytes in [
         EndlessBytes::HeaderLine,
         EndlessBytes::Headers,
@@ -143,10 +142,10 @@
     }
 }
 
-/// Guards against a stream of bytes without an event that passes to the caller
-/// without end (issue 23).
+/// Guards against an endless stream of bytes without events that is forwarded to
+/// the caller (issue 23).
 #[test]
-fn a_stream_of_bytes_without_an_event_is_broken_off() {
+fn a_stream_of_bytes_without_events_is_cut_off() {
     for bytes in [
         EndlessBytes::HeaderLine,
         EndlessBytes::Headers,
@@ -171,10 +170,10 @@
     }
 }
 
-/// Guards against a stream that always has bytes and so never meets its
-/// deadline (issue 23).
+/// Guards against a stream that always has bytes to read, so that its deadline is
+/// never checked (issue 23).
 #[test]
-fn a_stream_of_events_without_end_is_broken_off_at_its_deadline() {
+fn an_endless_stream_of_events_is_cut_off_at_its_deadline() {
     let platform = Platform::start();
     platform
         .engine
--- a/tests/testsuite/front/fleet.rs
+++ b/tests/testsuite/front/fleet.rs
@@ -1,4 +1,4 @@
-//! Several daemons before one store.
+//! Budgets in a fleet of several daemons with one store.
 
 use platform_standins::BackendBehaviour;
 use platform_standins::BackendStandin;
@@ -14,10 +14,10 @@
 use crate::front::wait_for;
 use crate::front::write_server;
 
-/// More instances than hold a budget.
+/// Size of the fleet: more instances than hold a budget.
 const INSTANCES: usize = 10;
 
-/// Daemons before a store and one engine.
+/// Daemons with a store and one engine.
 struct Fleet {
     store: StoreStandin,
     _engine: BackendStandin,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Sends a request that costs `prompt` + 15 tokens to the instance
-    /// `number`; whether it was served.
+    /// Sends a request that costs `prompt` + 15 tokens to the instance `number`;
+    /// returns whether it was served.
     fn is_served(&self, number: usize, id: &str, prompt: u64) -> bool {
         let more = format!("Token-Counts: {prompt},15\r\n");
         let response = self.fronts[number].call(&request("/stream/x", id, &more));
@@ -46,22 +46,23 @@
     }
 }
 
-/// Guards against budgets that each instance of a large fleet holds in part,
-/// too little for one request (issue 17).
+/// Guards against a large fleet in which each instance holds a part of a budget
+/// that is too small for one request (issue 17).
 #[test]
 fn an_instance_that_does_not_hold_a_budget_serves_its_callers_with_a_holders_tokens() {
     let fleet = Fleet::start(PREPAID);
     for number in 0..INSTANCES {
         let id = format!("id-{number}");
-        wait_for("an answer", || fleet.is_served(number, &id, 2_500));
+        wait_for("a response", || fleet.is_served(number, &id, 2_500));
     }
     assert!(count_logs(&fleet.fronts, "HS3102 ") <= 8);
     assert!(count_logs(&fleet.fronts, "HS3121 ") >= 1);
 }
 
-/// Guards against tokens that are spent twice, or lost, when they change hands.
+/// Guards against tokens that are spent twice, or lost, when they are transferred
+/// between instances.
 #[test]
-fn a_fleet_spends_what_is_prepaid_and_no_more_over_the_kill_of_holders() {
+fn a_fleet_spends_no_more_than_the_prepaid_tokens_when_a_holder_is_killed() {
     let mut fleet = Fleet::start(PREPAID);
     let mut spent = 0;
     for round in 0..8 {
--- a/tests/testsuite/front/forwarding.rs
+++ b/tests/testsuite/front/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests, answers and what is proved of them.
+//! Forwarding of requests and responses, and proofs that a request did not run.
 
 use std::thread;
 
@@ -15,7 +15,7 @@
 use crate::front::wait_for;
 
 #[test]
-fn an_answer_passes_unchanged_and_the_server_is_told_what_it_needs() {
+fn a_response_is_forwarded_unchanged_and_the_server_gets_the_fleets_headers() {
     let platform = Platform::start();
     let response = platform.call("/once/x?q=1", "id-1", "Tenant: forged\r\nX-Own: kept\r\n");
     assert_eq!(status(&response), "200", "{response}");
@@ -33,15 +33,15 @@
     assert_eq!(seen.header("expect-instance"), Some("i-plain"));
     assert_eq!(seen.header("x-own"), Some("kept"));
     assert_eq!(seen.header("authorization"), None);
-    let left: u64 = seen
+    let remaining: u64 = seen
         .header("deadline-ms")
         .and_then(|text| text.parse().ok())
         .expect("a deadline");
-    assert!((1_000..=2_500).contains(&left), "{left}");
+    assert!((1_000..=2_500).contains(&remaining), "{remaining}");
 }
 
 #[test]
-fn a_stream_passes_whole_and_a_broken_one_is_not_shown_as_whole() {
+fn a_stream_is_forwarded_whole_and_a_truncated_one_does_not_look_complete() {
     let platform = Platform::start();
     let whole = platform.stream("id-1", 100, 30);
     assert_eq!(status(&whole), "200", "{whole}");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_no_configuration_allows_is_refused_and_reaches_no_server() {
+fn a_request_that_the_configuration_does_not_allow_reaches_no_server() {
     let platform = Platform::start();
     assert_eq!(status(&platform.call("/nowhere/x", "id-1", "")), "404");
     let unknown = request("/once/x", "id-2", "").replace("key-a", "key-b");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_instance_without_a_configuration_says_that_the_request_did_not_run() {
+fn an_instance_without_a_configuration_responds_that_the_request_did_not_run() {
     let store = StoreStandin::start();
     store.set_faults(StoreFaults {
         refuse: Some(503),
@@ -92,10 +92,10 @@
     assert!(!front.is_ready());
 }
 
-/// A request that is framed by a length and by chunks is read by its chunks
-/// alone, and the bytes within it are no request of their own.
+/// Guards against request smuggling: a request with a length and chunked encoding
+/// is read by its chunks alone, and its body is not a second request.
 #[test]
-fn a_request_that_is_framed_twice_reaches_the_server_framed_once() {
+fn a_request_with_a_length_and_chunks_is_forwarded_with_one_framing() {
     let platform = Platform::start();
     let inner = request("/once/inner", "id-inner", "");
     let text = request("/once/x", "id-1", "Transfer-Encoding: chunked\r\n").replace(
@@ -110,10 +110,10 @@
     assert_eq!(requests[0].body, inner.as_bytes());
 }
 
-/// How servers answer, and what the caller of a call that may run once and of
-/// one that may be repeated gets.
+/// Checks the status that callers get for each behaviour of the server, for a
+/// request that may run only once and for one that may be retried.
 #[test]
-fn a_promise_that_a_request_did_not_run_needs_the_servers_proof() {
+fn a_response_that_a_request_did_not_run_needs_the_servers_proof() {
     let rows = [
         (BackendBehaviour::Respond, "200", "200"),
         (BackendBehaviour::Refuse, "503", "503"),
@@ -132,7 +132,7 @@
         let runs = platform.plain.requests().len();
         assert_eq!(
             runs, 1,
-            "{behaviour:?}: a call that may run once was sent {runs} times"
+            "{behaviour:?}: a request that may run once was sent {runs} times"
         );
         let response = platform.call("/often/x", "id-2", "");
         assert_eq!(status(&response), often, "{behaviour:?}: {response}");
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_call_that_may_be_repeated_goes_to_another_server() {
+fn an_idempotent_request_is_retried_at_another_server() {
     let platform = Platform::start();
     platform.add_second_server();
     for behaviour in [
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn bytes_after_an_answer_belong_to_no_request() {
+fn bytes_after_a_response_are_not_used_for_another_request() {
     let platform = Platform::start();
     platform
         .plain
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn connections_to_servers_are_kept() {
+fn connections_to_servers_are_reused() {
     let platform = Platform::start();
     for number in 0..10 {
         let response = platform.call("/once/x", &format!("id-{number}"), "");
--- a/tests/testsuite/front/lifetime.rs
+++ b/tests/testsuite/front/lifetime.rs
@@ -1,4 +1,4 @@
-//! Changes while the daemon runs: configuration, servers, connections, stops.
+//! Changes while the daemon runs: configuration, servers, connections, shutdown.
 
 use std::io::Read;
 use std::io::Write;
@@ -22,9 +22,9 @@
 use crate::front::wait_for;
 use crate::front::write_server;
 
-/// Callers may stay idle between requests for longer than a head may take.
+/// The time limit of a request head does not apply to idle connections.
 #[test]
-fn a_head_that_takes_too_long_ends_its_connection_and_an_idle_one_stays() {
+fn a_slow_request_head_ends_its_connection_and_an_idle_connection_stays_open() {
     let platform = Platform::start();
     let callers = platform.front.ports.callers;
     let open = || {
@@ -35,25 +35,25 @@
     };
     let mut idle = open();
     let mut slow = open();
-    let begun = Instant::now();
+    let started = Instant::now();
     slow.write_all(b"GET /often/x HTTP/1.1\r\nHost: ")
         .expect("bytes are sent");
     let mut rest = Vec::new();
-    let ended = slow.read_to_end(&mut rest);
-    assert!(ended.is_ok(), "{ended:?}");
-    // The configuration allows 3 s.
-    let taken = begun.elapsed();
+    let result = slow.read_to_end(&mut rest);
+    assert!(result.is_ok(), "{result:?}");
+    // The configuration's header timeout is 3 s.
+    let taken = started.elapsed();
     assert!(taken >= Duration::from_millis(2_900), "{taken:?}");
     assert!(taken < Duration::from_millis(4_500), "{taken:?}");
     let request = request("/often/x", "id-idle", "");
     idle.write_all(request.as_bytes()).expect("bytes are sent");
     let mut response = String::new();
-    idle.read_to_string(&mut response).expect("an answer");
+    idle.read_to_string(&mut response).expect("a response");
     assert_eq!(status(&response), "200", "{response}");
 }
 
 #[test]
-fn a_configuration_is_in_force_within_its_bound_and_survives_lost_history() {
+fn a_configuration_is_in_force_in_time_also_after_its_history_is_lost() {
     let platform = Platform::start();
     let extra = r#",{"name":"r-n","hostname":"h.example","path-prefix":"/new/","route-type":"idempotent","timeout-ms":3000,"target-latency-ms":500,"priority":1,"service":"plain","max-attempts":1}"#;
     let written = Instant::now();
@@ -71,7 +71,7 @@
     wait_for("version 3", || {
         status(&platform.call("/new/x", "id-2", "")) == "404"
     });
-    // An older version and bytes that cannot be read change nothing.
+    // An older version and an invalid configuration have no effect.
     platform
         .store
         .write("keyed.op", "config", config(2, PREPAID, extra).as_bytes());
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_gets_nothing_new() {
+fn a_draining_server_gets_no_new_requests() {
     let platform = Platform::start();
     platform.add_second_server();
     write_server(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_planned_stop_finishes_what_is_in_progress() {
+fn a_graceful_shutdown_completes_the_requests_in_progress() {
     let mut platform = Platform::start();
     platform
         .engine
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_directory_names_instances_that_serve_and_forgets_a_dead_one() {
+fn the_directory_lists_serving_instances_and_drops_a_killed_one() {
     let platform = Platform::start();
     let mut other = FrontProcess::start("front-2", FrontPorts::find(), platform.store.address());
     other.wait_ready();
@@ -153,6 +153,8 @@
     assert!(addresses().contains(&platform.front.ports.callers.to_string()));
     other.kill();
     let killed = Instant::now();
-    wait_for("its end", || !addresses().contains(&second));
+    wait_for("the removal of the second instance", || {
+        !addresses().contains(&second)
+    });
     assert!(killed.elapsed() < UPDATE_LIMIT, "{:?}", killed.elapsed());
 }
--- a/tests/testsuite/front/operations.rs
+++ b/tests/testsuite/front/operations.rs
@@ -1,4 +1,4 @@
-//! What on-call engineers see.
+//! Metrics and logs for on-call engineers.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -13,9 +13,9 @@
 use crate::front::Platform;
 use crate::front::status;
 
-/// What `hibiscus-timeline` shows with `arguments` of the daemon's log.
+/// Returns the output of `hibiscus-timeline` with `arguments` for the daemon's log.
 fn timeline(platform: &Platform, arguments: &[&str]) -> String {
-    // Lines are gathered for 100 ms before they are written.
+    // Log lines are buffered for up to 100 ms.
     thread::sleep(Duration::from_millis(300));
     let output = Command::new(process::program("hibiscus-timeline"))
         .args(arguments)
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn metrics_tell_requests_times_levels_and_store_calls() {
+fn metrics_show_requests_durations_levels_and_store_calls() {
     let platform = Platform::start();
     assert_eq!(status(&platform.stream("id-1", 50, 15)), "200");
     assert_eq!(status(&platform.call("/often/x", "id-2", "")), "200");
@@ -34,7 +34,7 @@
     thread::sleep(Duration::from_millis(2_300));
     let address = SocketAddr::from(([127, 0, 0, 1], platform.front.ports.internal));
     let request = "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    let metrics = exchange(address, request).expect("an answer");
+    let metrics = exchange(address, request).expect("a response");
     for line in [
         "hibiscus_requests_total{kind=\"stream\",outcome=\"passed\"} 1\n",
         "hibiscus_requests_total{kind=\"idempotent\",outcome=\"passed\"} 1\n",
@@ -73,12 +73,12 @@
     assert_eq!(spent, Some("65"));
 }
 
-/// The three ways of docs/OPERATIONS.md, each with the cause injected.
+/// Injects the cause of each of the three procedures in docs/OPERATIONS.md.
 #[test]
-fn the_log_of_a_fault_leads_from_a_request_to_its_cause() {
+fn the_log_leads_from_a_failed_request_to_the_cause() {
     let platform = Platform::start();
-    // A refusal for the budget: the store goes away, then more is asked for
-    // than is held.
+    // A refusal for lack of tokens: the store becomes unreachable, then callers
+    // request more tokens than the instance holds.
     platform.store.set_faults(StoreFaults {
         refuse: Some(503),
         ..StoreFaults::default()
@@ -89,14 +89,14 @@
         let response = platform.stream(&id, 9_000, 15);
         (status(&response) == "503").then_some(id)
     });
-    let refused = refused.expect("the holding ends");
+    let refused = refused.expect("the held tokens run out");
     let shown = timeline(&platform, &["--request", &refused]);
     assert!(shown.contains("HS3107 tokens are short"), "{shown}");
     assert!(shown.contains("reason=budget_unconfirmed"), "{shown}");
     let all = timeline(&platform, &[]);
     let lost = "HS3005 append failed and will be repeated detail=cause=failed to call the store: it refused with status 503";
     assert!(all.contains(lost), "{all}");
-    // A stream broken midway: its server breaks off.
+    // A truncated stream: its server resets the connection.
     platform.store.set_faults(StoreFaults::default());
     platform
         .engine
@@ -106,7 +106,7 @@
     let shown = timeline(&platform, &["--request", "id-broken"]);
     assert!(shown.contains("HS4201 answer broken off"), "{shown}");
     assert!(shown.contains("server=i-engine"), "{shown}");
-    // A late answer: the first server that was tried broke off.
+    // A delayed response: the first server resets the connection.
     platform.add_second_server();
     platform.plain.set_behaviour(BackendBehaviour::Reset);
     let late = (0..20).find_map(|number| {
--- a/tests/testsuite/front/soak.rs
+++ b/tests/testsuite/front/soak.rs
@@ -1,8 +1,8 @@
-//! Random faults on real processes: what must hold at all times is checked
-//! from what callers and servers see.
+//! Random faults on real processes; invariants are checked on what callers and
+//! servers see.
 //!
-//! Two seeds run in the test; more by hand, `FIRST..END` in the variable
-//! `HIBISCUS_SOAK_SEEDS`.
+//! The test runs two seeds. For manual runs, the environment variable
+//! `HIBISCUS_SOAK_SEEDS` takes other seeds as `FIRST..END`.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -28,37 +28,37 @@
 use crate::front::ending::CrashFleet;
 use crate::front::status;
 
-/// Seeds of the test; one that ever failed is added, with a line on the cause.
+/// Seeds of the test. A seed that fails is added with a line on the cause.
 const SEEDS: Range<u64> = 1..3;
-/// Variable with other seeds.
+/// Environment variable with other seeds.
 const SEEDS_VARIABLE: &str = "HIBISCUS_SOAK_SEEDS";
-/// Instances.
+/// Number of instances.
 const INSTANCES: usize = 4;
-/// Time with faults.
+/// Duration of the phase with faults.
 const FAULT_TIME: Duration = Duration::from_secs(14);
-/// Time without faults before the last checks.
+/// Time without faults before each of the last checks.
 const CALM_TIME: Duration = Duration::from_secs(5);
-/// Callers that send a request of their own each time.
+/// Number of callers that send only requests with unique ids.
 const CALLERS: usize = 4;
-/// Time for an answer.
+/// Timeout of connecting and of each read.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A caller's connection, used until its instance ends it.
+/// A caller's connection, which is reused until the instance closes it.
 struct CallerLink {
     stream: Option<TcpStream>,
     front: SocketAddr,
 }
 
-/// What a caller got for one request.
+/// The response to one request of a caller.
 struct CallerResponse {
     id: String,
     path: &'static str,
-    /// Head and body as far as they came.
+    /// Head and body as far as they were received.
     text: String,
 }
 
 impl CallerLink {
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads the response.
     fn call(&mut self, path: &'static str, id: &str, body: &str) -> CallerResponse {
         let request = format!(
             "POST {path} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 2000\r\nAuthorization: Bearer key-a\r\nContent-Length: {}\r\n\r\n{body}",
@@ -96,7 +96,7 @@
     }
 }
 
-/// Whether `text` holds a head and a body as long as the head says.
+/// Returns whether `text` has a complete head and a body of the stated length.
 fn is_whole(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
@@ -107,8 +107,8 @@
     length.is_some_and(|length: usize| body.len() >= length)
 }
 
-/// Sends requests of its own until `stop`.
-fn own_requests(
+/// Sends requests with unique ids until `stop` is set.
+fn unique_requests(
     fronts: &[SocketAddr],
     number: usize,
     seed: u64,
@@ -133,8 +133,8 @@
     responses
 }
 
-/// Sends the fatal request again and again until `stop`.
-fn fatal_requests(fronts: &[SocketAddr], seed: u64, stop: &AtomicBool) {
+/// Sends the crashing request repeatedly until `stop` is set.
+fn crashing_requests(fronts: &[SocketAddr], seed: u64, stop: &AtomicBool) {
     let mut rng = Rng::with_seed(seed.wrapping_mul(37));
     while !stop.load(Ordering::Relaxed) {
         let mut link = CallerLink {
@@ -147,11 +147,11 @@
     }
 }
 
-/// One fault, often while a server or the store is in trouble.
-fn make_fault(fleet: &mut CrashFleet, rng: &mut Rng, version: u64) {
-    let beside = rng.usize(..fleet.servers.len());
+/// Injects a fault, often together with a minor fault of a server or the store.
+fn inject_fault(fleet: &mut CrashFleet, rng: &mut Rng, version: u64) {
+    let minor = rng.usize(..fleet.servers.len());
     match rng.u8(..4) {
-        0 => fleet.servers[beside].set_behaviour(BackendBehaviour::Reset),
+        0 => fleet.servers[minor].set_behaviour(BackendBehaviour::Reset),
         1 => fleet.store.set_faults(StoreFaults {
             delay: Duration::from_millis(rng.u64(10..300)),
             ..StoreFaults::default()
@@ -162,13 +162,13 @@
         }
         _ => {}
     }
-    make_main_fault(fleet, rng);
-    fleet.servers[beside].set_behaviour(BackendBehaviour::Respond);
+    inject_main_fault(fleet, rng);
+    fleet.servers[minor].set_behaviour(BackendBehaviour::Respond);
     fleet.store.set_faults(StoreFaults::default());
 }
 
-/// One fault, some of which last.
-fn make_main_fault(fleet: &mut CrashFleet, rng: &mut Rng) {
+/// Injects one main fault; a killed or shut down instance is started again.
+fn inject_main_fault(fleet: &mut CrashFleet, rng: &mut Rng) {
     let front = rng.usize(..fleet.fronts.len());
     let server = rng.usize(..fleet.servers.len());
     let pause = Duration::from_millis(rng.u64(100..1_200));
@@ -190,8 +190,8 @@
         }
         2 => {
             fleet.fronts[front].signal(Signal::SIGTERM);
-            let ended = fleet.fronts[front].wait(Duration::from_secs(12));
-            assert!(ended.is_some(), "a planned stop does not end");
+            let status = fleet.fronts[front].wait(Duration::from_secs(12));
+            assert!(status.is_some(), "a graceful shutdown does not end");
             fleet.restart(front);
         }
         3 => {
@@ -222,7 +222,7 @@
     }
 }
 
-/// Checks what each caller got against what the servers saw.
+/// Checks the responses of callers against the requests that servers received.
 fn check_responses(fleet: &CrashFleet, responses: &[CallerResponse], seed: u64) {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for request in fleet.servers.iter().flat_map(|server| server.requests()) {
@@ -255,7 +255,7 @@
     assert!(served > 0, "seed {seed}: nothing was served");
 }
 
-/// Faults in a row, then a calm time in which all must be well.
+/// Runs one seed: a phase of faults, then checks in a phase without faults.
 fn run(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let mut fleet = CrashFleet::start(INSTANCES);
@@ -268,14 +268,14 @@
     let responses = thread::scope(|scope| {
         let (fronts, stop) = (&fronts[..], &stop);
         let callers: Vec<_> = (0..CALLERS)
-            .map(|number| scope.spawn(move || own_requests(fronts, number, seed, stop)))
+            .map(|number| scope.spawn(move || unique_requests(fronts, number, seed, stop)))
             .collect();
-        scope.spawn(move || fatal_requests(fronts, seed, stop));
-        let begun = Instant::now();
+        scope.spawn(move || crashing_requests(fronts, seed, stop));
+        let started = Instant::now();
         let mut version = 1;
-        while begun.elapsed() < FAULT_TIME {
+        while started.elapsed() < FAULT_TIME {
             version += 1;
-            make_fault(&mut fleet, &mut rng, version);
+            inject_fault(&mut fleet, &mut rng, version);
             thread::sleep(Duration::from_millis(rng.u64(50..500)));
         }
         stop.store(true, Ordering::Relaxed);
@@ -289,7 +289,7 @@
         front.wait_ready();
     }
     thread::sleep(CALM_TIME);
-    let ended = fleet.crash_times().len();
+    let crashes = fleet.crash_times().len();
     let before: usize = fleet
         .servers
         .iter()
@@ -302,7 +302,7 @@
         .map(|server| server.trigger_arrivals().len())
         .sum();
     println!(
-        "seed {seed}: {ended} ends, {before} fatal requests at servers, then {}: {statuses:?}",
+        "seed {seed}: {crashes} crashes, {before} crashing requests at servers, then {}: {statuses:?}",
         after - before
     );
     assert!(
@@ -319,9 +319,10 @@
     }
 }
 
-/// Guards what must hold at all times over faults in series.
+/// Checks that a request that may run once runs at most once, that no caller gets a
+/// response of another, and that the fleet serves again after a series of faults.
 #[test]
-fn callers_and_servers_see_what_is_promised_over_random_faults() {
+fn the_invariants_of_callers_and_servers_hold_over_random_faults() {
     let seeds = std::env::var(SEEDS_VARIABLE).ok().and_then(|text| {
         let (first, end) = text.split_once("..")?;
         Some(first.parse().ok()?..end.parse().ok()?)
--- a/tests/testsuite/front/troubles.rs
+++ b/tests/testsuite/front/troubles.rs
@@ -1,4 +1,4 @@
-//! What went wrong for operators of similar systems, at this daemon.
+//! Failures known from operators of similar systems, reproduced on this daemon.
 
 use std::collections::BTreeSet;
 use std::io::Read;
@@ -23,11 +23,11 @@
 use crate::front::wait_for;
 use crate::front::write_server;
 
-/// Callers that send at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 8;
 
-/// Guards against an answer that a server sends once more, late, and that the
-/// next caller on the connection gets.
+/// Guards against a duplicate response that arrives late and is forwarded to the
+/// next caller whose request uses the connection.
 #[test]
 fn an_answer_that_is_sent_twice_reaches_nobody_else() {
     for pause in [0, 1, 5, 20, 60] {
@@ -51,7 +51,7 @@
                         let own = response.ends_with(&format!("for {id}"));
                         assert!(
                             own || !response.contains("for id-"),
-                            "{id} got another's: {response}"
+                            "{id} got another request's response: {response}"
                         );
                         assert!(own || status(&response) == "502", "{id}: {response}");
                     }
@@ -67,18 +67,18 @@
     }
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CallOutcome {
-    /// The whole answer came, with this status.
+    /// The complete response was received.
     Whole(String),
-    /// No connection was accepted, so nothing was sent.
+    /// The connection was refused, so nothing was sent.
     NotConnected,
-    /// The connection ended without a whole answer.
+    /// The connection ended before the complete response; holds the received part.
     Cut(String),
 }
 
-/// Whether `response` is whole.
+/// Returns whether `response` is complete.
 fn is_whole(response: &str) -> bool {
     let Some((head, body)) = response.split_once("\r\n\r\n") else {
         return false;
@@ -92,7 +92,7 @@
     body.len() >= length.unwrap_or(0)
 }
 
-/// Sends `text` on `stream` and reads one answer.
+/// Sends `text` on `stream` and reads one response.
 fn exchange_on(stream: &mut TcpStream, text: &str) -> CallOutcome {
     let _limit = stream.set_read_timeout(Some(Duration::from_secs(10)));
     let mut response = String::new();
@@ -111,7 +111,7 @@
     CallOutcome::Whole(response)
 }
 
-/// Sends requests, each on a connection of its own, until `stop`.
+/// Sends requests on new connections until `stop` is set.
 fn call_on_new_connections(
     callers: SocketAddr,
     path: &str,
@@ -135,13 +135,13 @@
     outcomes
 }
 
-/// Guards against refusals though a server is there: a kept connection to it
-/// ends, by a second copy of an answer, while the next request is on its way
-/// to it.
+/// Guards against a refusal although a server is available: a kept connection to
+/// it is closed because of a duplicate response while the next request is being
+/// sent on it.
 #[test]
 fn a_request_whose_kept_connection_ends_is_sent_on_a_new_one() {
     const PAUSE: Duration = Duration::from_millis(500);
-    /// Time in which all threads have stopped.
+    /// Time after which all threads of the process have stopped.
     const STOPPED: Duration = Duration::from_millis(50);
     let platform = Platform::start();
     platform
@@ -159,13 +159,13 @@
             assert!(matches!(first, CallOutcome::Whole(_)), "{first:?}");
             platform.front.signal(Signal::SIGSTOP);
             thread::sleep(STOPPED);
-            // The request is read before the end of the kept connection.
+            // The instance reads the request before the end of the kept connection.
             let id = format!("second-{number}");
             let mut second = call(&id);
             thread::sleep(PAUSE + Duration::from_millis(100));
             platform.front.signal(Signal::SIGCONT);
             let CallOutcome::Whole(response) = exchange_on(&mut second, "") else {
-                panic!("{path} {id}: no whole answer");
+                panic!("{path} {id}: no complete response");
             };
             assert_eq!(status(&response), "200", "{path} {id}: {response}");
             assert!(
@@ -176,8 +176,8 @@
     }
 }
 
-/// As [`call_on_new_connections`], on kept connections; the ids of requests without a whole
-/// answer.
+/// As [`call_on_new_connections`], but reuses connections; returns the ids of
+/// requests without a complete response.
 fn call_on_kept_connections(
     callers: SocketAddr,
     path: &str,
@@ -210,16 +210,15 @@
     cut
 }
 
-/// Guards against requests that were just accepted and are cut off without an
-/// answer when the process ends.
+/// Guards against accepted requests that get no response when the process exits.
 #[test]
 fn a_planned_stop_under_load_answers_all_that_it_has_accepted() {
     let mut platform = Platform::start();
     let callers = platform.front.ports.callers;
     let stop = AtomicBool::new(false);
-    let (anew, cut) = thread::scope(|scope| {
+    let (on_new, cut) = thread::scope(|scope| {
         let stop = &stop;
-        let anew: Vec<_> = (0..CALLERS)
+        let on_new: Vec<_> = (0..CALLERS)
             .map(|number| {
                 let path = ["/once/x", "/often/x", "/stream/x"][number % 3];
                 scope.spawn(move || {
@@ -241,42 +240,42 @@
         assert!(ended.is_some_and(|ended| ended.success()), "{ended:?}");
         thread::sleep(Duration::from_millis(200));
         stop.store(true, Ordering::Relaxed);
-        let anew = anew.into_iter().map(|caller| caller.join());
-        let anew: Vec<_> = anew
+        let on_new = on_new.into_iter().map(|caller| caller.join());
+        let on_new: Vec<_> = on_new
             .flat_map(|outcomes| outcomes.expect("a caller ends"))
             .collect();
         let kept = kept.into_iter().map(|caller| caller.join());
         let cut: Vec<_> = kept.flat_map(|cut| cut.expect("a caller ends")).collect();
-        (anew, cut)
+        (on_new, cut)
     });
-    let served = anew
+    let served = on_new
         .iter()
         .filter(|outcome| matches!(outcome, CallOutcome::Whole(_)));
-    let bad: Vec<_> = anew
+    let bad: Vec<_> = on_new
         .iter()
         .filter(|outcome| matches!(outcome, CallOutcome::Cut(_)))
         .collect();
     println!(
-        "{} whole, {} cut on new connections, {} on kept ones",
+        "{} complete, {} cut on new connections, {} on kept connections",
         served.count(),
         bad.len(),
         cut.len()
     );
     assert!(bad.is_empty(), "{bad:?}");
-    // A request on a kept connection may cross the connection's end; then it
-    // was not passed on.
+    // The instance may close a kept connection while a request is sent on it; such
+    // a request must not have been forwarded.
     let ran: BTreeSet<String> = [&platform.plain, &platform.engine]
         .iter()
         .flat_map(|server| server.requests())
         .filter_map(|request| request.header("request-id").map(str::to_owned))
         .collect();
     let lost: Vec<_> = cut.iter().filter(|id| ran.contains(*id)).collect();
-    assert!(lost.is_empty(), "passed on and not answered: {lost:?}");
+    assert!(lost.is_empty(), "forwarded without a response: {lost:?}");
     assert!(cut.len() <= CALLERS, "{cut:?}");
 }
 
-/// Guards against slow and sound streams that are cut, and stalled ones that
-/// never end since a byte comes now and then.
+/// Guards against slow streams that are cut off, and stalled streams that never
+/// end because a byte arrives now and then.
 #[test]
 fn a_slow_stream_passes_whole_and_a_stalled_one_ends_at_its_deadline() {
     let platform = Platform::start();
@@ -291,12 +290,12 @@
         wait_for("the slow stream", || !platform.engine.requests().is_empty());
         let stalled = BackendBehaviour::Stalled(Duration::from_millis(100));
         platform.engine.set_behaviour(stalled);
-        let begun = Instant::now();
+        let started = Instant::now();
         let stalled = platform.stream("id-stalled", 10, 15);
-        let taken = begun.elapsed();
+        let taken = started.elapsed();
         assert!(stalled.contains("id: 0\n"), "{stalled}");
         assert!(!is_whole(&stalled), "{stalled}");
-        // Its caller waits 2.5 s.
+        // The deadline of the request is 2.5 s.
         assert!(taken >= Duration::from_millis(2_400), "{taken:?}");
         assert!(taken < Duration::from_millis(4_000), "{taken:?}");
         let slow = slow.join().expect("a caller ends");
@@ -304,9 +303,9 @@
     });
 }
 
-/// Guards against two processes of one instance that both act: the second one
-/// gets no port while the first lives, however silent that is, and so closes
-/// none of its accounts.
+/// Guards against two active processes of one instance: the second process cannot
+/// open the ports while the first exists, even if the first is frozen, and so
+/// does not close the accounts of the first.
 #[test]
 fn a_second_process_of_an_instance_does_nothing_while_the_first_lives() {
     let platform = Platform::start();
@@ -317,7 +316,10 @@
     let ended = second.wait(Duration::from_secs(10));
     assert!(ended.is_some_and(|ended| !ended.success()), "{ended:?}");
     let log = std::fs::read_to_string(second.log_file()).expect("a log");
-    assert!(!log.contains("HS3105"), "it closed an account: {log}");
+    assert!(
+        !log.contains("HS3105"),
+        "the second process closed an account: {log}"
+    );
     platform.front.signal(Signal::SIGCONT);
     let mut spent = 1_000 + 15;
     for number in 0.. {
@@ -331,8 +333,8 @@
     assert!(spent > crate::front::PREPAID * 8 / 10, "{spent} tokens");
 }
 
-/// Guards against running work that is started again elsewhere, or given up,
-/// since an instance was silent for a while.
+/// Guards against requests in progress that are repeated elsewhere or aborted
+/// because their instance was unresponsive for a while.
 #[test]
 fn a_frozen_instance_goes_on_with_its_streams_and_nobody_repeats_them() {
     let platform = Platform::start();
@@ -363,8 +365,8 @@
     drop(others);
 }
 
-/// Guards against an answer that broke off halfway and looks complete, by each
-/// way in which its end is told.
+/// Guards against a truncated response that looks complete, for each framing of a
+/// response.
 #[test]
 fn an_answer_that_ends_early_never_looks_whole() {
     for end in [
@@ -388,8 +390,8 @@
     }
 }
 
-/// Guards against work that is given up since its server was silent for a
-/// while, when no other can take it over.
+/// Guards against a request that is aborted because its server was unresponsive
+/// for a while, although no other server is available.
 #[test]
 fn a_request_at_the_only_server_is_not_given_up_while_that_is_silent() {
     let platform = Platform::start();
