--- a/crates/hibiscus-front/src/config/shared.rs
+++ b/crates/hibiscus-front/src/config/shared.rs
@@ -100,7 +100,7 @@
     }
 
     /// Replaces the configuration with `config`, which includes all records before
-    /// `next`, unless the current one is as new.
+    /// `next`, unless the current configuration is as new or newer.
     pub(super) fn update(&self, config: Arc<FleetConfig>, next: u64, arrival: ConfigArrival) {
         let mut state = self.lock();
         if state
--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -402,8 +402,8 @@
     counter!("hibiscus_peer_calls_late_total").absolute(counts.calls_late);
 }
 
-/// Checks the memory use for as long as the runtime runs, so that the state can
-/// shed load.
+/// Checks the memory use for as long as the runtime runs; the state sheds load
+/// when memory is short.
 async fn watch_memory(state: Rc<FrontState>) {
     loop {
         tokio::time::sleep(MEMORY_INTERVAL).await;
--- a/crates/hibiscus-front/src/signals.rs
+++ b/crates/hibiscus-front/src/signals.rs
@@ -13,8 +13,8 @@
 pub(crate) fn run(signals: &mut Signals, updates: &UpdateSender) {
     for signal in signals.forever() {
         if signal == SIGHUP {
-            // The settings of a running process do not change, except for values
-            // that it reads from the store earlier.
+            // SIGHUP is ignored: all that may change while the process runs is
+            // read from the store, and sooner.
             event!(EventCode::SettingsChanged, "");
             continue;
         }
--- a/tests/testsuite/front/lifetime.rs
+++ b/tests/testsuite/front/lifetime.rs
@@ -153,8 +153,6 @@
     assert!(addresses().contains(&platform.front.ports.callers.to_string()));
     other.kill();
     let killed = Instant::now();
-    wait_for("the removal of the second instance", || {
-        !addresses().contains(&second)
-    });
+    wait_for("its removal", || !addresses().contains(&second));
     assert!(killed.elapsed() < UPDATE_LIMIT, "{:?}", killed.elapsed());
 }
