--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -1,7 +1,7 @@
 //! Follows the entries of the backend servers.
 //!
 //! In a small fleet each instance reads the entries. In a large fleet a few
-//! relays read them and publish change sets ([`hibiscus_traffic::server_news`]).
+//! relays read them and publish change sets ([`hibiscus_traffic::server_changes`]).
 //! The other instances follow the change sets, and read the entries if a change
 //! set is missing or none arrives in time.
 
@@ -12,13 +12,13 @@
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
 use hibiscus_traffic::model::ServerEntry;
-use hibiscus_traffic::server_news;
-use hibiscus_traffic::server_news::NEWS_INTERVAL;
-use hibiscus_traffic::server_news::NEWS_TOPIC;
-use hibiscus_traffic::server_news::NewsDraft;
-use hibiscus_traffic::server_news::ServerBook;
-use hibiscus_traffic::server_news::ServerChange;
-use hibiscus_traffic::server_news::ServerNews;
+use hibiscus_traffic::server_changes;
+use hibiscus_traffic::server_changes::CHANGE_SET_INTERVAL;
+use hibiscus_traffic::server_changes::EntryTable;
+use hibiscus_traffic::server_changes::PendingChanges;
+use hibiscus_traffic::server_changes::SERVER_CHANGES_TOPIC;
+use hibiscus_traffic::server_changes::ServerChange;
+use hibiscus_traffic::server_changes::ServerChangeSet;
 use hibiscus_traffic::updates::TrafficUpdate;
 use hibiscus_traffic::updates::UpdateSender;
 use hibiscus_types::ServerName;
@@ -83,9 +83,9 @@
     role: &'a RelayRole,
     started: Instant,
     /// The servers; `None` until all entries were read.
-    registry: Option<ServerBook>,
+    registry: Option<EntryTable>,
     /// Changes that this instance will publish; only set while it is a relay.
-    draft: Option<NewsDraft>,
+    draft: Option<PendingChanges>,
     /// Offset of the next record in the topic of the change sets.
     changes_next: u64,
     /// Time at which the last change set was received, since `started`.
@@ -121,7 +121,7 @@
     /// Reads the entries of all servers.
     fn read_all(&mut self) -> Result<()> {
         // The end is read before the entries, so that no change set is missed.
-        self.changes_next = self.store.end(NEWS_TOPIC)?;
+        self.changes_next = self.store.end(SERVER_CHANGES_TOPIC)?;
         let newest = self.store.newest(servers::TOPIC)?;
         let mut entries = Vec::with_capacity(newest.records.len());
         for newest_record in newest.records {
@@ -130,7 +130,7 @@
                 ServerChange::Gone(name) => event!(EventCode::EntryUnreadable, "key={name}"),
             }
         }
-        self.registry = Some(ServerBook::new(&entries, newest.next));
+        self.registry = Some(EntryTable::new(&entries, newest.next));
         self.draft = None;
         self.last_received = self.now();
         send_update(self.updates, TrafficUpdate::AllServers(entries));
@@ -139,7 +139,7 @@
 
     /// Reads the entries that were written since the last read, waiting up to
     /// `wait`, and then pauses.
-    fn read_entries(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
+    fn read_entries(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
         let from = registry.position();
         let read = self.store.read(servers::TOPIC, from, wait)?;
         let now = self.now();
@@ -162,9 +162,9 @@
 
     /// Reads the entries as a relay, and publishes the changes unless a relay with
     /// a lower rank does.
-    fn relay(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
+    fn relay(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
         if self.draft.is_none() {
-            self.draft = Some(NewsDraft::new(registry.position(), self.now()));
+            self.draft = Some(PendingChanges::new(registry.position(), self.now()));
         }
         self.read_entries(registry, wait)?;
         let rank = self.role.rank();
@@ -186,7 +186,7 @@
                 Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
             }
         }
-        match self.store.append(NEWS_TOPIC, &encoded) {
+        match self.store.append(SERVER_CHANGES_TOPIC, &encoded) {
             // Change sets are idempotent, so an append without a reply is repeated.
             Ok(_receipt) => draft.note_published(registry.position(), now),
             Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
@@ -196,24 +196,27 @@
 
     /// Follows the change sets, and reads the entries if none has arrived for some
     /// time.
-    fn follow_changes(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
+    fn follow_changes(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
         if self.draft.take().is_some() {
             // A relay does not read all change sets; a missed one is detected as a
             // gap.
-            self.changes_next = self.store.end(NEWS_TOPIC)?;
+            self.changes_next = self.store.end(SERVER_CHANGES_TOPIC)?;
             self.last_received = self.now();
         }
-        if server_news::is_silent(self.last_received, self.now()) {
+        if server_changes::is_silent(self.last_received, self.now()) {
             self.read_entries(registry, wait)?;
             return self.read_changes(registry, Duration::ZERO);
         }
-        self.read_changes(registry, wait.min(NEWS_INTERVAL))
+        self.read_changes(registry, wait.min(CHANGE_SET_INTERVAL))
     }
 
     /// Reads the change sets that were published since the last read, waiting up to
     /// `wait`.
-    fn read_changes(&mut self, registry: &mut ServerBook, wait: Duration) -> Result<()> {
-        let read = match self.store.read(NEWS_TOPIC, self.changes_next, wait) {
+    fn read_changes(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
+        let read = match self
+            .store
+            .read(SERVER_CHANGES_TOPIC, self.changes_next, wait)
+        {
             Ok(read) => read,
             Err(StoreError::Expired { first }) => {
                 self.changes_next = first;
@@ -224,7 +227,7 @@
         let now = self.now();
         for record in read.page.records {
             self.changes_next += 1;
-            let news = match codec::decode::<ServerNews>(&record) {
+            let news = match codec::decode::<ServerChangeSet>(&record) {
                 Ok(news) => news,
                 Err(error) => {
                     event!(EventCode::ServerNewsUnreadable, "cause={error}");
@@ -236,7 +239,7 @@
                 draft.note_published(news.upto, now);
             }
             let upto = news.upto;
-            match registry.take_news(news) {
+            match registry.apply_change_set(news) {
                 Ok(changes) => {
                     for change in changes {
                         self.send_change(change);
