--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -15,21 +15,20 @@
 use hibiscus_peer::PinnedError;
 use hibiscus_peer::PinnedKeys;
 use hibiscus_peer::PinnedLink;
-use hibiscus_traffic::answer;
 use hibiscus_traffic::budgets::BudgetManager;
 use hibiscus_traffic::clock::MachineClock;
 use hibiscus_traffic::crash_detector;
 use hibiscus_traffic::directory::InstanceDirectory;
 use hibiscus_traffic::machine;
 use hibiscus_traffic::machine::MachineLimits;
-use hibiscus_traffic::measures;
 use hibiscus_traffic::members;
 use hibiscus_traffic::model::InstanceEntry;
 use hibiscus_traffic::peers;
 use hibiscus_traffic::port;
 use hibiscus_traffic::port::CallerAddress;
 use hibiscus_traffic::recovery;
-use hibiscus_traffic::relay::AnswerBody;
+use hibiscus_traffic::response;
+use hibiscus_traffic::response_body::ResponseBody;
 use hibiscus_traffic::retries::RetryBound;
 use hibiscus_traffic::retries::RetryCounter;
 use hibiscus_traffic::shares::MemoryShares;
@@ -37,6 +36,7 @@
 use hibiscus_traffic::state::TrafficState;
 use hibiscus_traffic::supply;
 use hibiscus_traffic::suspects::SuspectTracker;
+use hibiscus_traffic::traffic_metrics;
 use hibiscus_traffic::updates;
 use hibiscus_traffic::updates::UpdateReceiver;
 use hibiscus_types::IncarnationId;
@@ -264,12 +264,12 @@
 
 /// Creates the metrics recorder with the bucket bounds of its histograms.
 fn recorder() -> Result<PrometheusRecorder> {
-    let times = &measures::TIME_BOUNDS;
+    let times = &traffic_metrics::TIME_BOUNDS;
     let bounds = [
-        (measures::FIRST_EVENT, &times[..]),
-        (measures::REQUEST_TIME, &times[..]),
-        (measures::EVENT_GAP, &measures::GAP_BOUNDS[..]),
-        (measures::TIMER_LATENESS, &times[..]),
+        (traffic_metrics::FIRST_EVENT, &times[..]),
+        (traffic_metrics::REQUEST_TIME, &times[..]),
+        (traffic_metrics::EVENT_GAP, &traffic_metrics::GAP_BOUNDS[..]),
+        (traffic_metrics::TIMER_LATENESS, &times[..]),
         (platform::store::CALL_SECONDS_METRIC, &times[..]),
     ];
     let mut builder = PrometheusBuilder::new();
@@ -317,18 +317,18 @@
     tokio::task::spawn_local(crash_detector::run(Rc::clone(&state)));
     tokio::task::spawn_local(hibiscus_traffic::suspects::run(Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_callers(callers, Rc::clone(&state)));
-    tokio::task::spawn_local(port::serve_calls(
+    tokio::task::spawn_local(port::serve_status_requests(
         readiness,
         Rc::clone(&state),
         readiness_response,
     ));
     let lifetime = ADDRESS_TTL.min(settings.address_lifetime);
-    tokio::task::spawn_local(port::serve_calls(
+    tokio::task::spawn_local(port::serve_status_requests(
         directory,
         Rc::clone(&state),
         move |state: &FrontState, request| addresses_response(state, request, lifetime),
     ));
-    tokio::task::spawn_local(port::serve_calls(operators, Rc::clone(&state), {
+    tokio::task::spawn_local(port::serve_status_requests(operators, Rc::clone(&state), {
         let metrics = metrics.clone();
         move |_state: &FrontState, request: &Request<Incoming>| metrics_response(&metrics, request)
     }));
@@ -350,7 +350,7 @@
                 let large = state.directory.borrow().is_large();
                 role.set(state.relay_place(), large);
                 state.members.notify_one();
-                state.end_slow_heads();
+                state.close_slow_heads();
                 state.share_server_connections();
                 state.review_budgets();
                 supply::return_idle(&state);
@@ -492,15 +492,15 @@
 }
 
 /// Responds to a readiness check.
-fn readiness_response(state: &FrontState, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn readiness_response(state: &FrontState, request: &Request<Incoming>) -> Response<ResponseBody> {
     if request.uri().path() != endpoints::READINESS_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
     state.tally.readiness_requests.add();
     if state.directory.borrow().is_ready() {
-        answer::status_answer(http::StatusCode::OK)
+        response::status_response(http::StatusCode::OK)
     } else {
-        answer::status_answer(http::StatusCode::SERVICE_UNAVAILABLE)
+        response::status_response(http::StatusCode::SERVICE_UNAVAILABLE)
     }
 }
 
@@ -509,9 +509,9 @@
     state: &FrontState,
     request: &Request<Incoming>,
     lifetime: Duration,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if request.uri().path() != endpoints::RESOLVE_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
     let data_centre = endpoints::caller_data_centre(query);
@@ -520,16 +520,16 @@
     let caller = caller.map(|caller| caller.0);
     let addresses = directory.addresses_for(data_centre.as_ref(), caller);
     let body = endpoints::addresses_body(&addresses, lifetime);
-    answer::json_answer(body)
+    response::json_response(body)
 }
 
 /// Responds to a request for the metrics.
 fn metrics_response(
     metrics: &PrometheusHandle,
     request: &Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     if request.uri().path() != METRICS_PATH {
-        return answer::status_answer(http::StatusCode::NOT_FOUND);
+        return response::status_response(http::StatusCode::NOT_FOUND);
     }
-    answer::text_answer(metrics.render())
+    response::text_response(metrics.render())
 }
