--- a/crates/hibiscus-front/src/config/deltas.rs
+++ b/crates/hibiscus-front/src/config/deltas.rs
@@ -6,8 +6,8 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::change::ChangeAssembler;
-use hibiscus_traffic::change::ConfigChange;
+use hibiscus_traffic::config_delta::ConfigDelta;
+use hibiscus_traffic::config_delta::DeltaAssembler;
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::ConfigSource;
 use platform::store::StoreClient;
@@ -30,7 +30,7 @@
 /// from the operators' topic at its start.
 pub(super) fn follow(store: &StoreClient, shared: &SharedConfig) {
     let mut monitor = TopicMonitor::default();
-    let mut assembler = ChangeAssembler::default();
+    let mut assembler = DeltaAssembler::default();
     let mut next: Option<u64> = None;
     loop {
         let step = match next {
@@ -50,7 +50,7 @@
                     EventCode::HistoryDropped,
                     "topic={DELTAS_TOPIC} first={first}"
                 );
-                assembler = ChangeAssembler::default();
+                assembler = DeltaAssembler::default();
                 next = None;
             }
             Err(error) => {
@@ -66,7 +66,7 @@
 fn apply(
     read: &StoreRead,
     from: u64,
-    assembler: &mut ChangeAssembler,
+    assembler: &mut DeltaAssembler,
     shared: &SharedConfig,
 ) -> u64 {
     let mut next = from;
@@ -76,12 +76,12 @@
             Ok(None) => {}
             Ok(Some(change)) => {
                 let arrival = ConfigArrival {
-                    source: ConfigSource::Change,
+                    source: ConfigSource::Delta,
                     bytes: read.transfer.bytes,
-                    read: read.transfer.time,
-                    behind: read.page.end.saturating_sub(next),
-                    decode: Duration::ZERO,
-                    told: Instant::now(),
+                    read_time: read.transfer.time,
+                    records_behind: read.page.end.saturating_sub(next),
+                    decode_time: Duration::ZERO,
+                    queued_at: Instant::now(),
                 };
                 shared.apply(change, arrival);
             }
@@ -92,7 +92,7 @@
 }
 
 /// Publishes a delta, unless another instance publishes it first.
-pub(super) fn publish(store: &StoreClient, shared: &SharedConfig, change: &ConfigChange) {
+pub(super) fn publish(store: &StoreClient, shared: &SharedConfig, change: &ConfigDelta) {
     let records = match change.to_records() {
         Ok(records) => records,
         Err(error) => {
--- a/crates/hibiscus-front/src/config/operators.rs
+++ b/crates/hibiscus-front/src/config/operators.rs
@@ -7,7 +7,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::change::ConfigChange;
+use hibiscus_traffic::config_delta::ConfigDelta;
 use hibiscus_traffic::model::FleetConfig;
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::ConfigSource;
@@ -186,7 +186,7 @@
         self.up_to_date = next >= read.page.end;
         let mut offset = next;
         for record in read.page.records.iter().rev() {
-            let behind = read.page.end.saturating_sub(offset);
+            let records_behind = read.page.end.saturating_sub(offset);
             let end = offset;
             offset -= 1;
             let Some(record) = records::decode_keyed(record) else {
@@ -196,7 +196,7 @@
             let Some(value) = record.value.filter(|_value| record.key == config::KEY) else {
                 continue;
             };
-            if self.decode_and_update(&value, end, read.transfer, behind) {
+            if self.decode_and_update(&value, end, read.transfer, records_behind) {
                 self.shared.skip_unreadable(next);
                 return true;
             }
@@ -211,7 +211,7 @@
         value: &[u8],
         next: u64,
         transfer: ReplyTransfer,
-        behind: u64,
+        records_behind: u64,
     ) -> bool {
         let started = Instant::now();
         let config = match config::decode(value) {
@@ -222,17 +222,17 @@
                 return false;
             }
         };
-        if !config.left_out.is_empty() {
-            let (version, routes) = (config.version, config.left_out.join(","));
+        if !config.skipped_routes.is_empty() {
+            let (version, routes) = (config.version, config.skipped_routes.join(","));
             event!(EventCode::RouteLeftOut, "version={version} routes={routes}");
         }
         let arrival = ConfigArrival {
             source: ConfigSource::Operators,
             bytes: transfer.bytes,
-            read: transfer.time,
-            behind,
-            decode: started.elapsed(),
-            told: Instant::now(),
+            read_time: transfer.time,
+            records_behind,
+            decode_time: started.elapsed(),
+            queued_at: Instant::now(),
         };
         let before = self.shared.current();
         self.shared.update(Arc::clone(&config), next, arrival);
@@ -249,7 +249,7 @@
         if self.shared.wait_for_delta(next, stagger) {
             return;
         }
-        let change = ConfigChange::between((before.next, &before.config), (next, config));
+        let change = ConfigDelta::between((before.next, &before.config), (next, config));
         deltas::publish(self.store, self.shared, &change);
     }
 }
--- a/crates/hibiscus-front/src/config/shared.rs
+++ b/crates/hibiscus-front/src/config/shared.rs
@@ -10,7 +10,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::change::ConfigChange;
+use hibiscus_traffic::config_delta::ConfigDelta;
 use hibiscus_traffic::model::FleetConfig;
 use hibiscus_traffic::updates::ConfigArrival;
 use hibiscus_traffic::updates::TrafficUpdate;
@@ -35,7 +35,7 @@
     current: Option<PositionedConfig>,
     /// Offset after the last record that was read without a valid configuration.
     unreadable_end: u64,
-    /// Largest [`ConfigChange::next`] of the deltas that were read.
+    /// Largest [`ConfigDelta::next`] of the deltas that were read.
     published_next: u64,
     /// Offset after the last record that was read of the deltas' topic.
     deltas_end: Option<u64>,
@@ -71,7 +71,7 @@
     }
 
     /// Returns the rank of this instance among the relays, at most
-    /// [`hibiscus_traffic::relays::RELAYS`].
+    /// [`hibiscus_traffic::relays::RELAY_COUNT`].
     pub(super) fn rank(&self) -> u32 {
         self.role.rank()
     }
@@ -115,7 +115,7 @@
 
     /// Applies a delta that was read from the fleet's topic, if it is based on the
     /// current configuration.
-    pub(super) fn apply(&self, change: ConfigChange, arrival: ConfigArrival) {
+    pub(super) fn apply(&self, change: ConfigDelta, arrival: ConfigArrival) {
         let started = Instant::now();
         let (base, next) = (change.base, change.next);
         let mut state = self.lock();
@@ -135,8 +135,8 @@
         match change.apply(&current.config) {
             Ok(config) => {
                 let arrival = ConfigArrival {
-                    decode: started.elapsed(),
-                    told: Instant::now(),
+                    decode_time: started.elapsed(),
+                    queued_at: Instant::now(),
                     ..arrival
                 };
                 self.replace(&mut state, Arc::new(config), next, arrival);
--- a/crates/hibiscus-front/src/follow.rs
+++ b/crates/hibiscus-front/src/follow.rs
@@ -247,7 +247,7 @@
                 }
                 if next >= end && !caught_up {
                     caught_up = true;
-                    send_update(updates, TrafficUpdate::AccountsCurrent);
+                    send_update(updates, TrafficUpdate::AccountsCaughtUp);
                 }
                 if caught_up {
                     thread::park_timeout(ACCOUNTS_READ_INTERVAL);
@@ -282,6 +282,9 @@
             ),
         }
     }
-    send_update(updates, TrafficUpdate::AccountsResumed { first, snapshots });
+    send_update(
+        updates,
+        TrafficUpdate::AccountsTruncated { first, snapshots },
+    );
     Ok(())
 }
--- a/crates/hibiscus-front/src/relay.rs
+++ b/crates/hibiscus-front/src/relay.rs
@@ -6,7 +6,7 @@
 
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
-use hibiscus_traffic::relays::RELAYS;
+use hibiscus_traffic::relays::RELAY_COUNT;
 
 /// Role of this instance as a relay, one of the few instances that read a topic
 /// and publish its changes for the others. The traffic thread sets the role, the
@@ -35,15 +35,15 @@
         }
     }
 
-    /// Returns the rank of this instance, at most [`RELAYS`].
+    /// Returns the rank of this instance, at most [`RELAY_COUNT`].
     pub(crate) fn rank(&self) -> u32 {
-        let rank = self.rank.load(Ordering::Relaxed).min(RELAYS);
+        let rank = self.rank.load(Ordering::Relaxed).min(RELAY_COUNT);
         u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
     /// Returns whether this instance is a relay.
     pub(crate) fn is_relay(&self) -> bool {
-        self.rank.load(Ordering::Relaxed) < RELAYS
+        self.rank.load(Ordering::Relaxed) < RELAY_COUNT
     }
 
     /// Returns whether the fleet is large enough to use relays for server entries.
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -57,7 +57,7 @@
         match follower.read_once(monitor.wait_or(READ_WAIT)) {
             Ok(()) => {
                 monitor.succeeded(servers::TOPIC);
-                send_update(updates, TrafficUpdate::ServersRead);
+                send_update(updates, TrafficUpdate::ServerTopicRead);
             }
             Err(StoreError::Expired { first }) => {
                 event!(
@@ -69,7 +69,7 @@
             }
             Err(error) => {
                 monitor.failed(servers::TOPIC, &error);
-                send_update(updates, TrafficUpdate::ServersLost);
+                send_update(updates, TrafficUpdate::ServerTopicUnavailable);
                 thread::sleep(RETRY_DELAY);
             }
         }
@@ -261,7 +261,7 @@
     fn send_change(&self, change: ServerChange) {
         let update = match change {
             ServerChange::Present(entry) => TrafficUpdate::Server(entry),
-            ServerChange::Gone(name) => TrafficUpdate::ServerGone(name),
+            ServerChange::Gone(name) => TrafficUpdate::ServerRemoved(name),
         };
         send_update(self.updates, update);
     }
--- a/crates/hibiscus-traffic/src/servers.rs
+++ b/crates/hibiscus-traffic/src/servers.rs
@@ -29,9 +29,9 @@
 use crate::idle::IdleConnectionId;
 use crate::idle::IdleConnections;
 use crate::model::ServerEntry;
+use crate::model::ServerIncarnation;
 use crate::model::ServerLoadReport;
 use crate::model::ServerPhase;
-use crate::model::ServerStart;
 use crate::server_registry::RegistryChange;
 
 /// Servers that were avoided since they said so, by service and cause.
@@ -382,7 +382,7 @@
     }
 
     /// Notes that the process `start` leaves; whether that is new.
-    pub fn note_draining(&mut self, start: &ServerStart) -> bool {
+    pub fn note_draining(&mut self, start: &ServerIncarnation) -> bool {
         let new = self.availability_table.note_draining(start);
         if new && let Some(server) = self.find(&start.server, start.started) {
             server.drop_idle(0);
@@ -473,12 +473,13 @@
         if same {
             return;
         }
-        let start = entry.start();
+        let start = entry.incarnation();
         let availability = self.availability_table.of(&start);
         if let Some(before) = self.take_out(&entry.name)
-            && before.entry.start() != start
+            && before.entry.incarnation() != start
         {
-            self.availability_table.note_absent(&before.entry.start());
+            self.availability_table
+                .note_absent(&before.entry.incarnation());
         }
         let server = Rc::new(ServerHandle::new(
             entry,
@@ -497,7 +498,8 @@
 
     fn remove(&mut self, name: &ServerName) {
         if let Some(server) = self.take_out(name) {
-            self.availability_table.note_absent(&server.entry.start());
+            self.availability_table
+                .note_absent(&server.entry.incarnation());
         }
     }
 
--- a/crates/hibiscus-traffic/tests/availability_table.rs
+++ b/crates/hibiscus-traffic/tests/availability_table.rs
@@ -5,13 +5,13 @@
 
 use hibiscus_routing::availability::ServerEligibility;
 use hibiscus_traffic::availability_table::AvailabilityTable;
-use hibiscus_traffic::model::ServerStart;
+use hibiscus_traffic::model::ServerIncarnation;
 
 /// Processes that leave and are gone, more than are remembered.
 const MANY: u64 = 40_000;
 
-fn start(started: u64) -> ServerStart {
-    ServerStart {
+fn start(started: u64) -> ServerIncarnation {
+    ServerIncarnation {
         server: "i-1".into(),
         started,
     }
