--- a/crates/hibiscus-front/src/config/deltas.rs
+++ b/crates/hibiscus-front/src/config/deltas.rs
@@ -74,7 +74,7 @@
         next += 1;
         match assembler.take(record) {
             Ok(None) => {}
-            Ok(Some(change)) => {
+            Ok(Some(delta)) => {
                 let arrival = ConfigArrival {
                     source: ConfigSource::Delta,
                     bytes: read.transfer.bytes,
@@ -83,7 +83,7 @@
                     decode_time: Duration::ZERO,
                     queued_at: Instant::now(),
                 };
-                shared.apply(change, arrival);
+                shared.apply(delta, arrival);
             }
             Err(error) => event!(EventCode::ChangeUnreadable, "cause={error}"),
         }
@@ -92,14 +92,14 @@
 }
 
 /// Publishes a delta, unless another instance publishes it first.
-pub(super) fn publish(store: &StoreClient, shared: &SharedConfig, change: &ConfigDelta) {
-    let records = match change.to_records() {
+pub(super) fn publish(store: &StoreClient, shared: &SharedConfig, delta: &ConfigDelta) {
+    let records = match delta.to_records() {
         Ok(records) => records,
         Err(error) => {
             event!(
                 EventCode::ChangeNotPublished,
                 "version={} cause={error}",
-                change.version
+                delta.version
             );
             return;
         }
@@ -114,9 +114,9 @@
                 event!(
                     EventCode::ChangePublished,
                     "version={} base={} next={} bytes={}",
-                    change.version,
-                    change.base,
-                    change.next,
+                    delta.version,
+                    delta.base,
+                    delta.next,
                     records.iter().map(Vec::len).sum::<usize>()
                 );
                 return;
@@ -124,7 +124,7 @@
             Err(StoreError::EndMismatch { .. }) => shared.wait_for_deltas_after(end, READ_TIME),
             Err(error) => failure = Some(error),
         }
-        if shared.wait_for_delta(change.next, READ_TIME) {
+        if shared.wait_for_delta(delta.next, READ_TIME) {
             return;
         }
     }
@@ -135,6 +135,6 @@
     event!(
         EventCode::ChangeNotPublished,
         "version={} cause={cause}",
-        change.version
+        delta.version
     );
 }
--- a/crates/hibiscus-front/src/config/operators.rs
+++ b/crates/hibiscus-front/src/config/operators.rs
@@ -249,8 +249,8 @@
         if self.shared.wait_for_delta(next, stagger) {
             return;
         }
-        let change = ConfigDelta::between((before.next, &before.config), (next, config));
-        deltas::publish(self.store, self.shared, &change);
+        let delta = ConfigDelta::between((before.next, &before.config), (next, config));
+        deltas::publish(self.store, self.shared, &delta);
     }
 }
 
--- a/crates/hibiscus-front/src/config/shared.rs
+++ b/crates/hibiscus-front/src/config/shared.rs
@@ -115,9 +115,9 @@
 
     /// Applies a delta that was read from the fleet's topic, if it is based on the
     /// current configuration.
-    pub(super) fn apply(&self, change: ConfigDelta, arrival: ConfigArrival) {
+    pub(super) fn apply(&self, delta: ConfigDelta, arrival: ConfigArrival) {
         let started = Instant::now();
-        let (base, next) = (change.base, change.next);
+        let (base, next) = (delta.base, delta.next);
         let mut state = self.lock();
         state.published_next = state.published_next.max(next);
         self.changed.notify_all();
@@ -132,7 +132,7 @@
             );
             return;
         }
-        match change.apply(&current.config) {
+        match delta.apply(&current.config) {
             Ok(config) => {
                 let arrival = ConfigArrival {
                     decode_time: started.elapsed(),
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -178,10 +178,10 @@
         if !draft.is_due(rank, now) {
             return Ok(());
         }
-        let news = draft.news(registry.position());
-        let mut encoded = Vec::with_capacity(news.len());
-        for part in &news {
-            match codec::encode(part) {
+        let change_sets = draft.news(registry.position());
+        let mut encoded = Vec::with_capacity(change_sets.len());
+        for change_set in &change_sets {
+            match codec::encode(change_set) {
                 Ok(record) => encoded.push(record),
                 Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
             }
@@ -227,8 +227,8 @@
         let now = self.now();
         for record in read.page.records {
             self.changes_next += 1;
-            let news = match codec::decode::<ServerChangeSet>(&record) {
-                Ok(news) => news,
+            let change_set = match codec::decode::<ServerChangeSet>(&record) {
+                Ok(change_set) => change_set,
                 Err(error) => {
                     event!(EventCode::ServerNewsUnreadable, "cause={error}");
                     continue;
@@ -236,10 +236,10 @@
             };
             self.last_received = now;
             if let Some(draft) = &mut self.draft {
-                draft.note_published(news.upto, now);
+                draft.note_published(change_set.upto, now);
             }
-            let upto = news.upto;
-            match registry.apply_change_set(news) {
+            let upto = change_set.upto;
+            match registry.apply_change_set(change_set) {
                 Ok(changes) => {
                     for change in changes {
                         self.send_change(change);
--- a/crates/hibiscus-front/src/suspects.rs
+++ b/crates/hibiscus-front/src/suspects.rs
@@ -53,19 +53,19 @@
     }
 
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
-        let mut ends = Vec::with_capacity(records.len());
+        let mut reports = Vec::with_capacity(records.len());
         for record in records {
-            if let Some(SuspectRecord::Crashed(evidence)) = decode(&record) {
-                ends.push(evidence);
+            if let Some(SuspectRecord::Crashed(report)) = decode(&record) {
+                reports.push(report);
             }
         }
-        let update = SuspectUpdate::Whole(ends);
+        let update = SuspectUpdate::Whole(reports);
         follow::send_update(updates, TrafficUpdate::Suspects(update));
     }
 
     fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender) {
-        if let Some(news) = decode(&record) {
-            let update = SuspectUpdate::Appended(news);
+        if let Some(suspect_record) = decode(&record) {
+            let update = SuspectUpdate::Appended(suspect_record);
             follow::send_update(updates, TrafficUpdate::Suspects(update));
         }
     }
@@ -75,17 +75,17 @@
 /// another writer.
 fn decode(record: &KeyedRecord) -> Option<SuspectRecord> {
     let key = CrashKey::parse(&record.key);
-    let news = match &record.value {
+    let suspect_record = match &record.value {
         None => key.map(SuspectRecord::Removed),
         Some(value) => codec::decode::<CrashReport>(value)
             .ok()
-            .filter(|evidence| Some(evidence.key()) == key)
+            .filter(|report| Some(report.key()) == key)
             .map(SuspectRecord::Crashed),
     };
-    if news.is_none() {
+    if suspect_record.is_none() {
         event!(EventCode::SuspectUnreadable, "key={}", record.key);
     }
-    news
+    suspect_record
 }
 
 /// Follows the crash reports of all instances.
@@ -101,8 +101,8 @@
     batches: &Receiver<Vec<SuspectRecord>>,
 ) {
     let mut pending: Vec<Vec<u8>> = Vec::new();
-    while let Ok(news) = batches.recv() {
-        pending.extend(news.iter().filter_map(encode));
+    while let Ok(batch) = batches.recv() {
+        pending.extend(batch.iter().filter_map(encode));
         thread::sleep(BATCH_DELAY);
         loop {
             while let Ok(more) = batches.try_recv() {
@@ -135,12 +135,12 @@
     true
 }
 
-/// Encodes the record of `news`.
-fn encode(news: &SuspectRecord) -> Option<Vec<u8>> {
-    let key = news.key().to_string();
-    let value = match news {
+/// Encodes a keyed record for the topic.
+fn encode(record: &SuspectRecord) -> Option<Vec<u8>> {
+    let key = record.key().to_string();
+    let value = match record {
         SuspectRecord::Removed(_) => Vec::new(),
-        SuspectRecord::Crashed(evidence) => match codec::encode(evidence) {
+        SuspectRecord::Crashed(report) => match codec::encode(report) {
             Ok(value) => value,
             Err(error) => {
                 event!(EventCode::SuspectsNotStored, "records=1 cause={error}");
