--- a/crates/hibiscus-ledger/src/account.rs
+++ b/crates/hibiscus-ledger/src/account.rs
@@ -1,23 +1,22 @@
-//! Prepaid totals drawn by instances that keep nothing.
+//! Accounts of prepaid token budgets, kept as a stream of records.
 //!
-//! Each incarnation has one account a budget: what it drew, what it gave back
-//! and what it reported as spent, each report with a number that grows, so
-//! copies and late appends of a record change nothing. The rule of conservation is that
-//! over all accounts of a budget, what counts for them never exceeds what is
-//! prepaid.
+//! Each incarnation of an instance has one account for each budget: the tokens
+//! that it drew, returned and reported as spent. Each report carries a serial
+//! number, so copies and late appends of a record change nothing. The invariant
+//! is that the tokens counted over all accounts of a budget never exceed its
+//! prepaid total.
 //!
-//! An incarnation that ends without giving back cannot say what it spent
-//! last. Its reports therefore carry a [`limit::SpendingLimit`]: a line over the
-//! machine's steady clock that its spending stays below. The next process on
-//! the same machine reads that clock, and closes the account with what was
-//! spent at the most ([`AccountRecord::Close`]); the rest is free again. A
-//! machine that was booted anew has lost that clock; then a time that several
-//! machines agree on takes its place ([`agreement`]). A machine that never
-//! comes back proves nothing, and all that it had drawn stays counted as
-//! spent.
+//! An incarnation that crashes cannot report what it spent last. Its reports
+//! therefore carry a [`limit::SpendingLimit`], an upper bound on its spending
+//! that grows with the machine's monotonic clock. The next process on the same
+//! machine reads that clock and closes the account with the most that can have
+//! been spent ([`AccountRecord::Close`]); the rest becomes free again. A reboot
+//! resets the monotonic clock; the account is then closed by a time that
+//! several machines agree on ([`agreement`]). If the machine never comes back,
+//! nothing is proven and all tokens that it had drawn stay counted as spent.
 //!
-//! [`AccountFold`] is the state that all readers of the stream share,
-//! [`quota::LocalQuota`] what one holder may still spend.
+//! [`AccountFold`] is the state that every reader of the stream computes.
+//! [`quota::LocalQuota`] is what one holder may still spend.
 
 pub mod agreement;
 pub mod batch;
@@ -42,56 +41,56 @@
 use crate::account::limit::MachineTime;
 use crate::account::limit::SpendingLimit;
 
-/// The stream of account records. Its name tells the format of the records: a
-/// release that changes the format takes another name.
+/// Name of the stream of account records. It includes the version of the record
+/// format: a release that changes the format uses another name.
 pub const STREAM: &str = "accounts-2";
-/// Closed holders that are remembered: a late append comes within seconds,
-/// and incarnations are ordered by time, so the oldest are forgotten first
-/// within a budget.
-const ENDED_KEPT: usize = 100_000;
+/// Closed holders that are remembered. Late appends arrive within seconds, and
+/// incarnations are ordered by time, so the oldest ones of a budget are dropped
+/// first.
+const CLOSED_HOLDERS_LIMIT: usize = 100_000;
 
-/// One proposal.
+/// A record of the account stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AccountRecord {
-    /// A configuration set the total of a budget.
+    /// Sets the total of a budget, as a configuration states it.
     Prepaid {
         /// The budget.
         budget: BudgetName,
         /// Version of the configuration; an older one changes nothing.
         version: u64,
-        /// The total, spent tokens included.
+        /// The total, including tokens already spent.
         tokens: TokenCount,
     },
-    /// A holder asks for tokens.
+    /// Requests tokens for a holder.
     Draw {
         /// The budget.
         budget: BudgetName,
-        /// The incarnation that asks.
+        /// The incarnation that draws.
         holder: IncarnationId,
-        /// Its machine.
+        /// Machine of the incarnation.
         machine: InstanceName,
-        /// Grows by one a draw of this holder and budget.
+        /// Increases by one with each draw of this holder and budget.
         serial: u64,
-        /// Tokens asked for; the fold grants what is free of them.
+        /// Requested tokens; the fold grants as many of them as are free.
         tokens: TokenCount,
     },
-    /// A holder says what it spent, gives back, and may spend until it
-    /// reports again.
+    /// Reports what a holder spent and returned, and limits what it may spend
+    /// until its next report.
     Report(HolderReport),
-    /// The next process on a holder's machine says what the ended holder
-    /// spent at the most.
+    /// Closes the account of a holder that ended; the next process on its
+    /// machine writes it.
     Close {
         /// The budget.
         budget: BudgetName,
         /// The incarnation that ended.
         holder: IncarnationId,
-        /// The most that it spent.
+        /// The most that the holder can have spent.
         spent: TokenCount,
     },
 }
 
 impl AccountRecord {
-    /// The budget that it is about.
+    /// The budget of this record.
     pub fn budget(&self) -> &BudgetName {
         match self {
             Self::Prepaid { budget, .. }
@@ -102,93 +101,95 @@
     }
 }
 
-/// What one holder reports of one budget.
+/// A holder's report on one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderReport {
     /// The budget.
     pub budget: BudgetName,
     /// The incarnation that reports.
     pub holder: IncarnationId,
-    /// Grows by one a report; an older one changes nothing.
+    /// Increases by one with each report; an older report changes nothing.
     pub serial: u64,
-    /// Tokens spent so far, without those that were passed on and came back.
+    /// Tokens spent so far, excluding those that were transferred and came
+    /// back.
     pub spent: TokenCount,
-    /// Sum of all tokens given back so far.
+    /// Sum of all tokens returned so far.
     pub returned: TokenCount,
-    /// The line that its spending stays below.
+    /// Upper bound on the holder's spending until its next report.
     pub limit: SpendingLimit,
-    /// Time of day that had passed when the line was made, as far as the
-    /// holder can prove it; in milliseconds since the Unix epoch.
+    /// A time of day that had provably passed when the limit was created, in
+    /// milliseconds since the Unix epoch.
     pub created_after: Option<u64>,
-    /// Tokens a second that its requests ask for.
+    /// Demand of the holder's requests, in tokens per second.
     pub demand: u64,
-    /// Tokens that it counts as spent and lately passed on to instances that
-    /// hold none: what their requests leave comes back.
+    /// Tokens counted as spent that were recently transferred to instances that
+    /// do not hold the budget; what their requests leave unused comes back.
     pub transferred: TokenCount,
 }
 
-/// A draw that the fold decided.
+/// Result of a draw.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrawResult {
     /// The budget.
     pub budget: BudgetName,
-    /// The incarnation that asked.
+    /// The incarnation that drew.
     pub holder: IncarnationId,
-    /// Number of the draw.
+    /// Serial number of the draw.
     pub serial: u64,
-    /// Tokens granted, possibly none.
+    /// Granted tokens, possibly none.
     pub granted: TokenCount,
 }
 
-/// One incarnation's account of one budget.
+/// Account of one incarnation for one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderAccount {
-    /// The machine that it runs on.
+    /// Machine of the incarnation.
     pub machine: InstanceName,
-    /// Number of the last draw.
+    /// Serial number of the last draw.
     pub serial: u64,
-    /// Sum of the tokens granted.
+    /// Sum of the granted tokens.
     pub drawn: TokenCount,
     /// Sum of the tokens reported as spent.
     pub spent: TokenCount,
-    /// Sum of the tokens given back.
+    /// Sum of the returned tokens.
     pub returned: TokenCount,
-    /// Its last report, once it made one.
+    /// The last report, if there was one.
     pub report: Option<HolderReport>,
 }
 
 impl HolderAccount {
-    /// Tokens that count against the budget for this holder.
+    /// Tokens of this holder that count against the budget.
     pub fn counted(&self) -> TokenCount {
         self.drawn.saturating_sub(self.returned)
     }
 
-    /// The most that the holder spent, by the clock of its machine at `now`;
-    /// `None` when that clock proves nothing. A holder without a report has
-    /// spent nothing: it must have one in the store before its first request.
+    /// The most that the holder can have spent according to its machine's clock
+    /// at `now`; `None` if that clock proves nothing. A holder without a report
+    /// has spent nothing, because its first report is stored before its first
+    /// request.
     pub fn spent_by_clock(&self, now: MachineTime) -> Option<TokenCount> {
         let Some(report) = &self.report else {
             return Some(TokenCount::ZERO);
         };
-        let limit = report.limit.proved_at(now)?;
+        let limit = report.limit.max_spent_at(now)?;
         Some(limit.min(self.counted()))
     }
 
-    /// The most that the holder spent, if it had ended before the time of day
-    /// `ended` that several machines agree on, in milliseconds since the Unix
-    /// epoch. Without such a time all that counts.
-    pub fn spent_by_agreement(&self, ended: Option<u64>) -> TokenCount {
+    /// The most that the holder can have spent if it ended before the time of
+    /// day `ended_before`, in milliseconds since the Unix epoch, on which
+    /// several machines agree. Without such a time, all counted tokens.
+    pub fn spent_by_agreement(&self, ended_before: Option<u64>) -> TokenCount {
         let counted = self.counted();
         let Some(report) = &self.report else {
             return TokenCount::ZERO;
         };
-        let (Some(ended), Some(created_at)) = (ended, report.created_after) else {
+        let (Some(ended_before), Some(created_after)) = (ended_before, report.created_after) else {
             return counted;
         };
-        let Some(spent_for) = (ended + MAX_CLOCK_SKEW_MS).checked_sub(created_at) else {
+        let Some(spent_for) = (ended_before + MAX_CLOCK_SKEW_MS).checked_sub(created_after) else {
             return counted;
         };
-        report.limit.limit_after(spent_for).min(counted)
+        report.limit.allowed_after(spent_for).min(counted)
     }
 
     /// Tokens that the holder has not reported as spent.
@@ -196,8 +197,8 @@
         self.counted().saturating_sub(self.spent)
     }
 
-    /// Tokens that may still be free again: what the holder has not reported
-    /// as spent, and what it passed on.
+    /// Tokens that may become free again: those not reported as spent and those
+    /// that the holder transferred.
     pub fn unsettled(&self) -> TokenCount {
         let report = self.report.as_ref();
         let transferred = report.map_or(TokenCount::ZERO, |report| report.transferred);
@@ -205,22 +206,22 @@
     }
 }
 
-/// One budget as all readers see it.
+/// State of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetAccount {
     /// Version of the configuration that set the total.
     pub version: u64,
-    /// The total.
+    /// The prepaid total.
     pub prepaid: TokenCount,
-    /// Drawn minus given back, over all holders.
+    /// Tokens drawn minus tokens returned, over all holders.
     pub counted: TokenCount,
-    /// The holders that may still spend.
+    /// Accounts of the holders that may still spend.
     pub holders: BTreeMap<IncarnationId, HolderAccount>,
-    /// Sum of what closed holders spent.
+    /// Sum of the tokens spent by closed holders.
     pub closed: TokenCount,
-    /// Offset of the first record that is not contained in a snapshot that
-    /// this account began with.
-    from: u64,
+    /// Offset of the first record that applies. Earlier records are contained
+    /// in the snapshot from which this account was restored.
+    first_offset: u64,
 }
 
 impl BudgetAccount {
@@ -230,27 +231,27 @@
     }
 
     /// Tokens that the holders have not reported as spent.
-    pub fn held(&self) -> TokenCount {
+    pub fn unreported(&self) -> TokenCount {
         self.holders.values().map(HolderAccount::unreported).sum()
     }
 
-    /// Tokens a second that the requests of all holders but `holder` ask for.
+    /// Demand of all holders except `holder`, in tokens per second.
     pub fn demand_of_others(&self, holder: IncarnationId) -> u64 {
-        let others = self.holders.iter().filter(|(id, _held)| **id != holder);
-        let reports = others.filter_map(|(_id, held)| held.report.as_ref());
+        let others = self.holders.iter().filter(|(id, _account)| **id != holder);
+        let reports = others.filter_map(|(_id, holder_account)| holder_account.report.as_ref());
         reports.map(|report| report.demand).sum()
     }
 }
 
-/// All budgets at one offset of the stream.
+/// State of all budgets at one offset of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountFold {
     next: u64,
     budgets: BTreeMap<BudgetName, BudgetAccount>,
-    /// Times of day that the last reports showed.
+    /// Times of day of the last reports.
     readings: RecentReadings,
-    /// Holders that were closed; late records of theirs change nothing.
-    ended: BTreeSet<(BudgetName, IncarnationId)>,
+    /// Closed holders, whose late records change nothing.
+    closed_holders: BTreeSet<(BudgetName, IncarnationId)>,
 }
 
 impl AccountFold {
@@ -269,28 +270,28 @@
         &self.budgets
     }
 
-    /// A time of day that has passed by the records of several machines, in
-    /// milliseconds since the Unix epoch.
-    pub fn passed(&self) -> Option<u64> {
-        self.readings.passed()
+    /// A time of day that has passed according to the records of several
+    /// machines, in milliseconds since the Unix epoch.
+    pub fn time_lower_bound(&self) -> Option<u64> {
+        self.readings.agreed_lower_bound()
     }
 
-    /// Counts a record that cannot be decoded, so that offsets stay aligned.
+    /// Skips a record that cannot be decoded, so that offsets stay aligned.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset.saturating_add(1));
     }
 
-    /// Applies the records at `offset` and returns the draws that it decided.
-    /// A lower offset than [`Self::next_offset`] changes nothing.
+    /// Applies the records at `offset` and returns the results of its draws. An
+    /// offset below [`Self::next_offset`] changes nothing.
     pub fn apply(&mut self, offset: u64, records: &[AccountRecord]) -> Vec<DrawResult> {
         if offset < self.next {
             return Vec::new();
         }
         self.skip(offset);
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         for record in records {
             let account = self.budgets.get(record.budget());
-            if account.is_some_and(|account| offset < account.from) {
+            if account.is_some_and(|account| offset < account.first_offset) {
                 continue;
             }
             match record {
@@ -307,7 +308,7 @@
                     tokens,
                 } => {
                     let draw = (*serial, *tokens);
-                    verdicts.extend(self.draw(budget, *holder, machine, draw));
+                    results.extend(self.draw(budget, *holder, machine, draw));
                 }
                 AccountRecord::Report(report) => self.report(report),
                 AccountRecord::Close {
@@ -317,7 +318,7 @@
                 } => self.close(budget, *holder, *spent),
             }
         }
-        verdicts
+        results
     }
 
     fn set_prepaid(&mut self, budget: &BudgetName, version: u64, tokens: TokenCount) {
@@ -329,8 +330,8 @@
         account.prepaid = tokens;
     }
 
-    /// Grants what is free of `tokens`. A serial that was seen has its
-    /// verdict already.
+    /// Grants as many of `tokens` as are free. A serial number that was already
+    /// applied is ignored.
     fn draw(
         &mut self,
         budget: &BudgetName,
@@ -338,19 +339,19 @@
         machine: &InstanceName,
         (serial, tokens): (u64, TokenCount),
     ) -> Option<DrawResult> {
-        if self.ended.contains(&(budget.clone(), holder)) {
+        if self.closed_holders.contains(&(budget.clone(), holder)) {
             return None;
         }
         let account = self.budgets.entry(budget.clone()).or_default();
         let free = account.free();
-        let held = account.holders.entry(holder).or_default();
-        if serial <= held.serial {
+        let holder_account = account.holders.entry(holder).or_default();
+        if serial <= holder_account.serial {
             return None;
         }
         let granted = tokens.min(free);
-        held.machine = machine.clone();
-        held.serial = serial;
-        held.drawn = held.drawn + granted;
+        holder_account.machine = machine.clone();
+        holder_account.serial = serial;
+        holder_account.drawn = holder_account.drawn + granted;
         account.counted = account.counted + granted;
         Some(DrawResult {
             budget: budget.clone(),
@@ -360,43 +361,44 @@
         })
     }
 
-    /// Takes a report over unless a newer one was, or its sums exceed what
-    /// was drawn.
+    /// Applies a report, unless a newer one was applied or its sums exceed the
+    /// drawn tokens.
     fn report(&mut self, report: &HolderReport) {
         let Some(account) = self.budgets.get_mut(&report.budget) else {
             return;
         };
-        let Some(held) = account.holders.get_mut(&report.holder) else {
+        let Some(holder_account) = account.holders.get_mut(&report.holder) else {
             return;
         };
-        let known = held.report.as_ref().map_or(0, |known| known.serial);
-        if report.serial <= known || report.spent + report.returned > held.drawn {
+        let last_serial = holder_account.report.as_ref().map_or(0, |last| last.serial);
+        if report.serial <= last_serial || report.spent + report.returned > holder_account.drawn {
             return;
         }
-        let freed = report.returned.saturating_sub(held.returned);
-        held.spent = report.spent;
-        held.returned = held.returned.max(report.returned);
-        held.report = Some(report.clone());
+        let freed = report.returned.saturating_sub(holder_account.returned);
+        holder_account.spent = report.spent;
+        holder_account.returned = holder_account.returned.max(report.returned);
+        holder_account.report = Some(report.clone());
         self.readings
-            .push(&held.machine, report.limit.created_at.unix_millis);
+            .push(&holder_account.machine, report.limit.created_at.unix_millis);
         account.counted = account.counted.saturating_sub(freed);
     }
 
-    /// Ends a holder's account; what it spent at the most stays counted.
+    /// Closes a holder's account; the most that it can have spent stays
+    /// counted.
     fn close(&mut self, budget: &BudgetName, holder: IncarnationId, spent: TokenCount) {
         let Some(account) = self.budgets.get_mut(budget) else {
             return;
         };
-        let Some(held) = account.holders.remove(&holder) else {
+        let Some(holder_account) = account.holders.remove(&holder) else {
             return;
         };
-        let counted = held.counted();
-        let spent = spent.max(held.spent).min(counted);
+        let counted = holder_account.counted();
+        let spent = spent.max(holder_account.spent).min(counted);
         account.closed = account.closed + spent;
         account.counted = account.counted.saturating_sub(counted) + spent;
-        self.ended.insert((budget.clone(), holder));
-        while self.ended.len() > ENDED_KEPT {
-            self.ended.pop_first();
+        self.closed_holders.insert((budget.clone(), holder));
+        while self.closed_holders.len() > CLOSED_HOLDERS_LIMIT {
+            self.closed_holders.pop_first();
         }
     }
 }
--- a/crates/hibiscus-traffic/src/usage_log.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -1,7 +1,8 @@
-//! Tells in the log how much of the machine the process uses.
+//! Logs how much of the machine the process uses.
 //!
-//! The volume is bounded: a line of levels every few seconds, and one line
-//! each time that memory or lateness has risen to its mark.
+//! The volume is bounded: one line with all levels every few seconds, and one
+//! line each time the memory use or the timer lateness rises above its
+//! threshold.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,54 +19,54 @@
 use crate::tally::WorkTally;
 use crate::traffic_metrics::TrafficGauges;
 
-/// Part of the memory at which it nears the limit.
+/// Ratio of the memory at which use is logged as near the limit.
 const MEMORY_HIGH: f64 = 0.75;
-/// Part of the memory below which the next rise is told again.
+/// Ratio of the memory below which the next rise is logged again.
 const MEMORY_LOW: f64 = 0.65;
-/// Lateness of the timer that is told, in seconds: half of what an answer to
-/// another instance may take.
+/// Timer lateness that is logged, in seconds: half of the longest time for a
+/// response to another instance.
 const LATE_HIGH: f64 = 0.3;
-/// Lateness below which the next rise is told again, in seconds.
+/// Timer lateness below which the next rise is logged again, in seconds.
 const LATE_LOW: f64 = 0.05;
-/// Looks at the levels for one line of them.
-const LOOKS_A_LINE: u32 = 3;
+/// Checks of the levels for each line that is logged.
+const CHECKS_PER_LINE: u32 = 3;
 
-/// Follows what the process uses of its machine.
+/// Logs the resource use of the process.
 #[derive(Debug)]
 pub struct UsageLogger {
     limits: MachineLimits,
     memory: RefCell<ThresholdTrigger>,
     lateness: RefCell<ThresholdTrigger>,
-    /// Worst lateness since the last line of levels.
-    latest: Cell<Duration>,
-    looks: Cell<u32>,
+    /// Largest lateness since the last line of levels.
+    max_lateness: Cell<Duration>,
+    checks: Cell<u32>,
 }
 
 impl UsageLogger {
-    /// Follows a process that has `limits`.
+    /// Creates a logger for a process with these `limits`.
     pub fn new(limits: MachineLimits) -> Self {
         Self {
             limits,
             memory: RefCell::new(ThresholdTrigger::new(MEMORY_HIGH, MEMORY_LOW)),
             lateness: RefCell::new(ThresholdTrigger::new(LATE_HIGH, LATE_LOW)),
-            latest: Cell::default(),
-            looks: Cell::default(),
+            max_lateness: Cell::default(),
+            checks: Cell::default(),
         }
     }
 
-    /// The timer was late by `delay`.
+    /// Records that the timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
-        self.latest.set(self.latest.get().max(delay));
+        self.max_lateness.set(self.max_lateness.get().max(delay));
         if self.lateness.borrow_mut().fires(delay.as_secs_f64()) {
             event!(EventCode::ThreadLate, "late_ms={}", delay.as_millis());
         }
     }
 
-    /// Takes the present levels; whether they were told.
+    /// Records the present levels. Returns whether they were logged.
     pub fn note_levels(&self, levels: &TrafficGauges, tally: &WorkTally) -> bool {
         let memory = self.limits.memory_bytes.max(1) as f64;
-        let part = levels.used.resident_bytes as f64 / memory;
-        if self.memory.borrow_mut().fires(part) {
+        let ratio = levels.used.resident_bytes as f64 / memory;
+        if self.memory.borrow_mut().fires(ratio) {
             event!(
                 EventCode::MemoryNearLimit,
                 "resident_bytes={} limit_bytes={} caller_connections={} requests={} body_bytes={} idle_links={} accounts={} account_lag={}",
@@ -79,24 +80,24 @@
                 levels.account_lag
             );
         }
-        self.looks.set(self.looks.get() + 1);
-        let is_due = self.looks.get() >= LOOKS_A_LINE;
+        self.checks.set(self.checks.get() + 1);
+        let is_due = self.checks.get() >= CHECKS_PER_LINE;
         if is_due {
-            self.looks.set(0);
-            self.tell(levels, tally);
+            self.checks.set(0);
+            self.log_levels(levels, tally);
         }
         is_due
     }
 
-    fn tell(&self, levels: &TrafficGauges, tally: &WorkTally) {
-        let readiness = |outcome| tally.asked(PeerRequestKind::Readiness, outcome);
-        let link = |outcome| tally.asked(PeerRequestKind::Link, outcome);
+    fn log_levels(&self, levels: &TrafficGauges, tally: &WorkTally) {
+        let readiness = |outcome| tally.peer_requests(PeerRequestKind::Readiness, outcome);
+        let link = |outcome| tally.peer_requests(PeerRequestKind::Link, outcome);
         event!(
             EventCode::LevelsShown,
             "resident_bytes={} processor_ms={} late_ms={} caller_connections={} requests={} idle_links={} instances={} accounts={} account_lag={} records={} reviews={} draws={}/{}/{} readiness={}/{}/{} link={}/{}/{} asked={}/{} retries_left={:.1}",
             levels.used.resident_bytes,
             levels.used.processor.as_millis(),
-            self.latest.take().as_millis(),
+            self.max_lateness.take().as_millis(),
             levels.connections,
             levels.in_progress,
             levels.idle_links,
