--- a/tests/testsuite/front/accounts.rs
+++ b/tests/testsuite/front/accounts.rs
@@ -101,8 +101,8 @@
         ..StoreFaults::default()
     });
     for number in 1..10 {
-        let response = platform.stream(&format!("id-{number}"), 50, 15);
-        assert_eq!(status(&response), "200", "{response}");
+        let answer = platform.stream(&format!("id-{number}"), 50, 15);
+        assert_eq!(status(&answer), "200", "{answer}");
     }
     assert!(platform.front.is_ready());
 }
--- a/tests/testsuite/front/draining.rs
+++ b/tests/testsuite/front/draining.rs
@@ -204,13 +204,10 @@
     let arrived = platform.plain.requests().len() + platform.second.requests().len();
     assert_eq!(arrived, 2);
     let started = Instant::now();
-    let response = platform.call("/often/x", "id-3", "");
-    assert_eq!(status(&response), "503", "{response}");
-    assert!(
-        response.to_lowercase().contains("retry-after: "),
-        "{response}"
-    );
-    assert!(started.elapsed() < Duration::from_secs(1), "{response}");
+    let answer = platform.call("/often/x", "id-3", "");
+    assert_eq!(status(&answer), "503", "{answer}");
+    assert!(answer.to_lowercase().contains("retry-after: "), "{answer}");
+    assert!(started.elapsed() < Duration::from_secs(1), "{answer}");
     let arrived = platform.plain.requests().len() + platform.second.requests().len();
     assert_eq!(arrived, 2);
 }
@@ -263,8 +260,8 @@
     make_store_unavailable(&store);
     draining.set_extra_headers(DRAINING);
     wait_for("the server to be used", || {
-        let response = fronts[0].call(&request("/often/x", "id-1", ""));
-        assert_eq!(status(&response), "200", "{response}");
+        let answer = fronts[0].call(&request("/often/x", "id-1", ""));
+        assert_eq!(status(&answer), "200", "{answer}");
         !draining.arrivals().is_empty()
     });
     let draining_since = Instant::now();
@@ -360,15 +357,15 @@
     platform.plain.set_extra_headers("Retry-After: 1e300\r\n");
     platform.plain.set_behaviour(BackendBehaviour::Refuse);
     wait_for("a refusal", || {
-        let response = platform.call("/often/x", "id-1", "");
-        assert_eq!(status(&response), "200", "{response}");
+        let answer = platform.call("/often/x", "id-1", "");
+        assert_eq!(status(&answer), "200", "{answer}");
         !platform.plain.arrivals().is_empty()
     });
     platform.plain.set_behaviour(BackendBehaviour::Respond);
     let refused = platform.plain.arrivals().len();
     for number in 0..200 {
-        let response = platform.call("/once/x", &format!("id-{number}"), "");
-        assert_eq!(status(&response), "200", "{response}");
+        let answer = platform.call("/once/x", &format!("id-{number}"), "");
+        assert_eq!(status(&answer), "200", "{answer}");
     }
     assert_eq!(platform.plain.arrivals().len(), refused);
     write_start(&platform.store, "i-plain", &platform.plain, 8, 6);
@@ -403,8 +400,8 @@
     }
     let started = Instant::now();
     wait_for("both servers to pause", || {
-        let response = platform.call("/often/x", "id-1", "");
-        assert_eq!(status(&response), "503", "{response}");
+        let answer = platform.call("/often/x", "id-1", "");
+        assert_eq!(status(&answer), "503", "{answer}");
         !platform.plain.arrivals().is_empty() && !platform.second.arrivals().is_empty()
     });
     let first = platform.plain.arrivals()[0] + Duration::from_secs(4);
@@ -412,12 +409,12 @@
     let mut retry_times = Vec::new();
     for number in 0..20 {
         let sent = Instant::now();
-        let response = platform.call("/once/x", &format!("id-{number}"), "");
-        assert_eq!(status(&response), "503", "{response}");
-        let back = sent + Duration::from_secs_f64(retry_after(&response));
+        let answer = platform.call("/once/x", &format!("id-{number}"), "");
+        assert_eq!(status(&answer), "503", "{answer}");
+        let back = sent + Duration::from_secs_f64(retry_after(&answer));
         // The pause starts when the refusal reaches the instance, a little later.
-        assert!(back + Duration::from_millis(50) >= first, "{response}");
-        assert!(back <= first + Duration::from_millis(1_500), "{response}");
+        assert!(back + Duration::from_millis(50) >= first, "{answer}");
+        assert!(back <= first + Duration::from_millis(1_500), "{answer}");
         retry_times.push(back - started);
     }
     retry_times.sort();
--- a/tests/testsuite/front/endless.rs
+++ b/tests/testsuite/front/endless.rs
@@ -103,10 +103,10 @@
             )
             .replace("Deadline-Ms: 2500", "Deadline-Ms: 1000");
             let started = Instant::now();
-            let valid = platform.front.call(&short);
+            let sound = platform.front.call(&short);
             println!("a valid request took {:?}", started.elapsed());
-            assert_eq!(status(&valid), "200", "{valid}");
-            assert!(valid.ends_with("0\r\n\r\n"), "{valid}");
+            assert_eq!(status(&sound), "200", "{sound}");
+            assert!(sound.ends_with("0\r\n\r\n"), "{sound}");
         }
         for bad in bad {
             let response = bad.join().expect("a caller ends");
--- a/tests/testsuite/front/entries.rs
+++ b/tests/testsuite/front/entries.rs
@@ -108,8 +108,8 @@
         for (number, front) in others.iter().enumerate() {
             for attempt in 0..3 {
                 let id = format!("id-{number}-{attempt}");
-                let response = front.call(&request("/often/x", &id, ""));
-                assert_eq!(status(&response), "200", "{response}");
+                let answer = front.call(&request("/often/x", &id, ""));
+                assert_eq!(status(&answer), "200", "{answer}");
             }
         }
         let late = draining.requests().len() - before;
--- a/tests/testsuite/front/forwarding.rs
+++ b/tests/testsuite/front/forwarding.rs
@@ -17,13 +17,13 @@
 #[test]
 fn a_response_is_forwarded_unchanged_and_the_server_gets_the_fleets_headers() {
     let platform = Platform::start();
-    let response = platform.call("/once/x?q=1", "id-1", "Tenant: forged\r\nX-Own: kept\r\n");
-    assert_eq!(status(&response), "200", "{response}");
+    let answer = platform.call("/once/x?q=1", "id-1", "Tenant: forged\r\nX-Own: kept\r\n");
+    assert_eq!(status(&answer), "200", "{answer}");
     assert!(
-        response.to_lowercase().contains("response-seal: seal-id-1"),
-        "{response}"
+        answer.to_lowercase().contains("response-seal: seal-id-1"),
+        "{answer}"
     );
-    assert!(response.ends_with("done"), "{response}");
+    assert!(answer.ends_with("done"), "{answer}");
     let requests = platform.plain.requests();
     assert_eq!(requests.len(), 1);
     let seen = &requests[0];
@@ -33,11 +33,11 @@
     assert_eq!(seen.header("expect-instance"), Some("i-plain"));
     assert_eq!(seen.header("x-own"), Some("kept"));
     assert_eq!(seen.header("authorization"), None);
-    let remaining: u64 = seen
+    let left: u64 = seen
         .header("deadline-ms")
         .and_then(|text| text.parse().ok())
         .expect("a deadline");
-    assert!((1_000..=2_500).contains(&remaining), "{remaining}");
+    assert!((1_000..=2_500).contains(&left), "{left}");
 }
 
 #[test]
@@ -83,12 +83,9 @@
     wait_for("the port", || {
         !front.call(&request("/once/x", "id-1", "")).is_empty()
     });
-    let response = front.call(&request("/once/x", "id-1", ""));
-    assert_eq!(status(&response), "503", "{response}");
-    assert!(
-        response.to_lowercase().contains("retry-after: "),
-        "{response}"
-    );
+    let answer = front.call(&request("/once/x", "id-1", ""));
+    assert_eq!(status(&answer), "503", "{answer}");
+    assert!(answer.to_lowercase().contains("retry-after: "), "{answer}");
     assert!(!front.is_ready());
 }
 
@@ -127,18 +124,18 @@
     for (behaviour, once, often) in rows {
         let platform = Platform::start();
         platform.plain.set_behaviour(behaviour);
-        let response = platform.call("/once/x", "id-1", "");
-        assert_eq!(status(&response), once, "{behaviour:?}: {response}");
+        let answer = platform.call("/once/x", "id-1", "");
+        assert_eq!(status(&answer), once, "{behaviour:?}: {answer}");
         let runs = platform.plain.requests().len();
         assert_eq!(
             runs, 1,
             "{behaviour:?}: a request that may run once was sent {runs} times"
         );
-        let response = platform.call("/often/x", "id-2", "");
-        assert_eq!(status(&response), often, "{behaviour:?}: {response}");
+        let answer = platform.call("/often/x", "id-2", "");
+        assert_eq!(status(&answer), often, "{behaviour:?}: {answer}");
         assert!(
-            !response.contains("theirs") && !response.contains("unsigned"),
-            "{response}"
+            !answer.contains("theirs") && !answer.contains("unsigned"),
+            "{answer}"
         );
     }
 }
@@ -168,8 +165,8 @@
         .plain
         .set_behaviour(BackendBehaviour::ExtraResponse);
     for number in 0..6 {
-        let response = platform.call("/once/x", &format!("id-{number}"), "");
-        assert!(!response.contains("theirs"), "{response}");
+        let answer = platform.call("/once/x", &format!("id-{number}"), "");
+        assert!(!answer.contains("theirs"), "{answer}");
     }
 }
 
@@ -177,8 +174,8 @@
 fn connections_to_servers_are_reused() {
     let platform = Platform::start();
     for number in 0..10 {
-        let response = platform.call("/once/x", &format!("id-{number}"), "");
-        assert_eq!(status(&response), "200", "{response}");
+        let answer = platform.call("/once/x", &format!("id-{number}"), "");
+        assert_eq!(status(&answer), "200", "{answer}");
         thread::sleep(POLL_INTERVAL);
     }
     assert!(
--- a/tests/testsuite/front/lifetime.rs
+++ b/tests/testsuite/front/lifetime.rs
@@ -39,17 +39,17 @@
     slow.write_all(b"GET /often/x HTTP/1.1\r\nHost: ")
         .expect("bytes are sent");
     let mut rest = Vec::new();
-    let result = slow.read_to_end(&mut rest);
-    assert!(result.is_ok(), "{result:?}");
+    let ended = slow.read_to_end(&mut rest);
+    assert!(ended.is_ok(), "{ended:?}");
     // The configuration's header timeout is 3 s.
     let taken = started.elapsed();
     assert!(taken >= Duration::from_millis(2_900), "{taken:?}");
     assert!(taken < Duration::from_millis(4_500), "{taken:?}");
     let request = request("/often/x", "id-idle", "");
     idle.write_all(request.as_bytes()).expect("bytes are sent");
-    let mut response = String::new();
-    idle.read_to_string(&mut response).expect("a response");
-    assert_eq!(status(&response), "200", "{response}");
+    let mut answer = String::new();
+    idle.read_to_string(&mut answer).expect("a response");
+    assert_eq!(status(&answer), "200", "{answer}");
 }
 
 #[test]
@@ -95,8 +95,8 @@
     thread::sleep(UPDATE_LIMIT);
     let before = platform.plain.requests().len();
     for number in 0..8 {
-        let response = platform.call("/once/x", &format!("id-{number}"), "");
-        assert_eq!(status(&response), "200", "{response}");
+        let answer = platform.call("/once/x", &format!("id-{number}"), "");
+        assert_eq!(status(&answer), "200", "{answer}");
     }
     assert_eq!(platform.plain.requests().len(), before);
     platform.store.write("keyed.servers", "i-second", b"");
@@ -125,10 +125,10 @@
     platform.front.signal(Signal::SIGTERM);
     wait_for("the end of readiness", || !platform.front.is_ready());
     for stream in streams {
-        let response = stream.join().expect("the caller ends");
+        let answer = stream.join().expect("the caller ends");
         assert!(
-            response.contains("id: 119\n") && response.ends_with("0\r\n\r\n"),
-            "{response}"
+            answer.contains("id: 119\n") && answer.ends_with("0\r\n\r\n"),
+            "{answer}"
         );
     }
     let ended = platform
--- a/tests/testsuite/front/troubles.rs
+++ b/tests/testsuite/front/troubles.rs
@@ -354,11 +354,8 @@
         thread::sleep(Duration::from_millis(1_300));
         platform.front.signal(Signal::SIGCONT);
         for stream in streams {
-            let response = stream.join().expect("a caller ends");
-            assert!(
-                response.contains("id: 11\n") && is_whole(&response),
-                "{response}"
-            );
+            let answer = stream.join().expect("a caller ends");
+            assert!(answer.contains("id: 11\n") && is_whole(&answer), "{answer}");
         }
     });
     assert_eq!(platform.engine.requests().len(), 4);
@@ -397,8 +394,8 @@
     let platform = Platform::start();
     let late = BackendBehaviour::Delayed(Duration::from_millis(1_200));
     platform.plain.set_behaviour(late);
-    let response = platform.call("/often/x", "id-1", "");
-    assert_eq!(status(&response), "200", "{response}");
-    assert!(response.ends_with("for id-1"), "{response}");
+    let answer = platform.call("/often/x", "id-1", "");
+    assert_eq!(status(&answer), "200", "{answer}");
+    assert!(answer.ends_with("for id-1"), "{answer}");
     assert_eq!(platform.plain.requests().len(), 1);
 }
