--- a/crates/hibiscus-front/src/append.rs
+++ b/crates/hibiscus-front/src/append.rs
@@ -1,4 +1,4 @@
-//! The thread that appends account records.
+//! The thread that appends account records to the metadata store.
 
 use std::sync::mpsc::Receiver;
 use std::thread;
@@ -19,21 +19,22 @@
 use platform::records::StoreLimits;
 use platform::store::StoreClient;
 
-/// Batches that wait for the thread.
-pub(crate) const RING_CAPACITY: usize = 64;
-/// Time for which records are gathered into one append, so that a burst of
-/// draws costs one call.
-const GATHER_TIME: Duration = Duration::from_millis(5);
-/// First pause after a failed append.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause after failed appends.
-const LAST_PAUSE: Duration = Duration::from_millis(400);
+/// Capacity of the queue of batches to this thread.
+pub(crate) const QUEUE_CAPACITY: usize = 64;
+/// Time to collect further records for one append, so that a burst of draws takes
+/// one call.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
+/// Delay before the first retry of an append.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay before a retry of an append.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Appends what comes over `batches` until its sender is dropped. Each append
-/// is repeated until the store acknowledges it: copies change nothing.
+/// Appends the received batches until the sender is dropped. Each append of
+/// account records is retried until the store acknowledges it; the records are
+/// idempotent.
 ///
-/// The next append begins only after the one before was acknowledged, so the
-/// store shows them in order.
+/// An append starts only after the previous one was acknowledged, so the store
+/// holds the records in order.
 pub(crate) fn run(
     store: &StoreClient,
     limits: StoreLimits,
@@ -41,7 +42,7 @@
     batches: &Receiver<AccountBatch>,
 ) {
     while let Ok(mut batch) = batches.recv() {
-        thread::sleep(GATHER_TIME);
+        thread::sleep(BATCH_DELAY);
         while let Ok(more) = batches.try_recv() {
             batch.number = more.number;
             batch.records.extend(more.records);
@@ -59,8 +60,8 @@
     }
 }
 
-/// Appends `records` to the stream, however often it takes; returns the offset
-/// after them.
+/// Appends `records` to the account stream with retries; returns the offset after
+/// them.
 fn append_records(
     store: &StoreClient,
     limits: StoreLimits,
@@ -83,22 +84,21 @@
     end
 }
 
-/// Appends the records of one call, however often it takes; returns the offset
-/// after them.
+/// Appends the records of one call with retries; returns the offset after them.
 fn append_call(store: &StoreClient, records: &[Vec<u8>]) -> u64 {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = MIN_RETRY_DELAY;
     loop {
         match store.append(account::STREAM, records) {
             Ok(receipt) => return receipt.end_offset,
             Err(error) => event!(EventCode::AppendFailed, "cause={error}"),
         }
         thread::sleep(pause);
-        pause = (pause * 2).min(LAST_PAUSE);
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Appends `snapshots`, each call once: the next ones come in time, and the
-/// account records must not wait for these.
+/// Appends `snapshots` without retries: newer snapshots follow, and account
+/// records must not wait for snapshots.
 fn append_snapshots(store: &StoreClient, limits: StoreLimits, snapshots: &[AccountSnapshot]) {
     let mut encoded = Vec::with_capacity(snapshots.len());
     for snapshot in snapshots {
--- a/crates/hibiscus-front/src/config/changes.rs
+++ b/crates/hibiscus-front/src/config/deltas.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration as instances publish them.
+//! Reads and publishes configuration deltas in the fleet's topic.
 
 use std::thread;
 use std::time::Duration;
@@ -14,62 +14,67 @@
 use platform::store::StoreError;
 use platform::store::StoreRead;
 
-use crate::config::CHANGES_TOPIC;
-use crate::config::ConfigBoard;
-use crate::reach::FAILURE_PAUSE;
-use crate::reach::ReachLog;
+use crate::config::DELTAS_TOPIC;
+use crate::config::SharedConfig;
+use crate::topic_monitor::RETRY_DELAY;
+use crate::topic_monitor::TopicMonitor;
 
-/// Attempts to publish one change; another instance does it otherwise, or all
-/// read the version themselves.
+/// Attempts to publish a delta. After them, another instance publishes it or all
+/// instances read the version themselves.
 const ATTEMPTS: usize = 3;
-/// Time in which a record that another instance appended is read.
+/// Time to wait for a record that another instance appended.
 const READ_TIME: Duration = Duration::from_millis(200);
 
-/// Applies the changes that come from now on to what `board` holds. Those of
-/// before are in the version that this process began with, or it reads another
-/// one.
-pub(super) fn follow(store: &StoreClient, board: &ConfigBoard) {
-    let mut reach = ReachLog::default();
+/// Reads deltas from the current end of the topic on and applies them to
+/// `shared`. Older deltas are included in the version that this process reads
+/// from the operators' topic at its start.
+pub(super) fn follow(store: &StoreClient, shared: &SharedConfig) {
+    let mut monitor = TopicMonitor::default();
     let mut assembler = DeltaAssembler::default();
     let mut next: Option<u64> = None;
     loop {
         let step = match next {
-            None => store.end(CHANGES_TOPIC),
+            None => store.end(DELTAS_TOPIC),
             Some(from) => store
-                .read(CHANGES_TOPIC, from, reach.wait())
-                .map(|read| apply(&read, from, &mut assembler, board)),
+                .read(DELTAS_TOPIC, from, monitor.wait())
+                .map(|read| apply(&read, from, &mut assembler, shared)),
         };
         match step {
             Ok(offset) => {
-                reach.succeeded(CHANGES_TOPIC);
+                monitor.succeeded(DELTAS_TOPIC);
                 next = Some(offset);
-                board.set_changes_end(next);
+                shared.set_deltas_end(next);
             }
             Err(StoreError::Expired { first }) => {
                 event!(
                     EventCode::HistoryDropped,
-                    "topic={CHANGES_TOPIC} first={first}"
+                    "topic={DELTAS_TOPIC} first={first}"
                 );
                 assembler = DeltaAssembler::default();
                 next = None;
             }
             Err(error) => {
-                reach.failed(CHANGES_TOPIC, &error);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(DELTAS_TOPIC, &error);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
 }
 
-/// Applies the changes of a page that begins at `from`; returns the offset
-/// after it.
-fn apply(read: &StoreRead, from: u64, assembler: &mut DeltaAssembler, board: &ConfigBoard) -> u64 {
+/// Applies the deltas of a page that begins at offset `from`; returns the offset
+/// after the page.
+fn apply(
+    read: &StoreRead,
+    from: u64,
+    assembler: &mut DeltaAssembler,
+    shared: &SharedConfig,
+) -> u64 {
     let mut next = from;
     for record in &read.page.records {
         next += 1;
         match assembler.take(record) {
             Ok(None) => {}
-            Ok(Some(change)) => {
+            Ok(Some(delta)) => {
                 let arrival = ConfigArrival {
                     source: ConfigSource::Delta,
                     bytes: read.transfer.bytes,
@@ -78,7 +83,7 @@
                     decode_time: Duration::ZERO,
                     queued_at: Instant::now(),
                 };
-                board.apply(change, arrival);
+                shared.apply(delta, arrival);
             }
             Err(error) => event!(EventCode::ChangeUnreadable, "cause={error}"),
         }
@@ -86,47 +91,50 @@
     next
 }
 
-/// Publishes `change`, unless another instance does so first.
-pub(super) fn publish(store: &StoreClient, board: &ConfigBoard, change: &ConfigDelta) {
-    let records = match change.to_records() {
+/// Publishes a delta, unless another instance publishes it first.
+pub(super) fn publish(store: &StoreClient, shared: &SharedConfig, delta: &ConfigDelta) {
+    let records = match delta.to_records() {
         Ok(records) => records,
         Err(error) => {
             event!(
                 EventCode::ChangeNotPublished,
                 "version={} cause={error}",
-                change.version
+                delta.version
             );
             return;
         }
     };
     let mut failure = None;
     for _attempt in 0..ATTEMPTS {
-        let Some(end) = board.changes_end() else {
+        let Some(end) = shared.deltas_end() else {
             break;
         };
-        match store.append_at(CHANGES_TOPIC, &records, end) {
+        match store.append_at(DELTAS_TOPIC, &records, end) {
             Ok(_receipt) => {
                 event!(
                     EventCode::ChangePublished,
                     "version={} base={} next={} bytes={}",
-                    change.version,
-                    change.base,
-                    change.next,
+                    delta.version,
+                    delta.base,
+                    delta.next,
                     records.iter().map(Vec::len).sum::<usize>()
                 );
                 return;
             }
-            Err(StoreError::Moved { .. }) => board.wait_changes(end, READ_TIME),
+            Err(StoreError::EndMismatch { .. }) => shared.wait_for_deltas_after(end, READ_TIME),
             Err(error) => failure = Some(error),
         }
-        if board.wait_published(change.next, READ_TIME) {
+        if shared.wait_for_delta(delta.next, READ_TIME) {
             return;
         }
     }
-    let cause = failure.map_or_else(|| "others append".to_owned(), |error| error.to_string());
+    let cause = failure.map_or_else(
+        || "other instances append to the topic".to_owned(),
+        |error| error.to_string(),
+    );
     event!(
         EventCode::ChangeNotPublished,
         "version={} cause={cause}",
-        change.version
+        delta.version
     );
 }
--- a/crates/hibiscus-front/src/follow.rs
+++ b/crates/hibiscus-front/src/follow.rs
@@ -1,4 +1,5 @@
-//! Threads that follow topics of the metadata store.
+//! Threads that follow topics of the metadata store and send their records to the
+//! traffic thread.
 
 use std::sync::OnceLock;
 use std::sync::atomic::AtomicBool;
@@ -21,82 +22,84 @@
 use platform::store::StoreClient;
 use platform::store::StoreError;
 
-use crate::reach::FAILURE_PAUSE;
-use crate::reach::READ_WAIT;
-use crate::reach::ReachLog;
+use crate::topic_monitor::READ_WAIT;
+use crate::topic_monitor::RETRY_DELAY;
+use crate::topic_monitor::TopicMonitor;
 
-/// Topic of the instances' announcements.
+/// Topic of the announcements, in which each instance publishes its entry.
 const INSTANCES_TOPIC: &str = "keyed.instances";
-/// Pause between reads of the accounts, so that one read brings the records
-/// of several instances. A verdict that is awaited ends it.
-const ACCOUNTS_PAUSE: Duration = Duration::from_millis(300);
+/// Pause between reads of the account stream, so that one read returns records of
+/// several instances. The traffic thread ends it early when it waits for the
+/// result of a draw.
+const ACCOUNTS_READ_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a thread does with the records of a keyed topic.
+/// Handles the records of a keyed topic.
 pub(crate) trait TopicReader {
-    /// The topic.
+    /// Returns the name of the topic.
     fn topic(&self) -> &'static str;
 
-    /// Pause after each read.
+    /// Returns the pause after each read.
     fn pause(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Time for which a read waits for a record while the store answers. A
-    /// connection that fell silent shows only after it.
+    /// Returns the time for which a read waits for a record while the store is
+    /// reachable. A dead connection is detected only after it.
     fn wait(&self) -> Duration {
         READ_WAIT
     }
 
-    /// Takes over the newest record of each key.
+    /// Handles the newest record of each key.
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
         for record in records {
-            self.take(record, updates);
+            self.apply(record, updates);
         }
     }
 
-    /// Takes over a record that was appended.
-    fn take(&mut self, record: KeyedRecord, updates: &UpdateSender);
+    /// Handles a record that was appended.
+    fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender);
 
-    /// A call failed, or succeeded.
-    fn reached(&mut self, _reached: bool, _updates: &UpdateSender) {}
+    /// Handles the result of a call to the store.
+    fn call_finished(&mut self, _succeeded: bool, _updates: &UpdateSender) {}
 }
 
-/// Sends news to the traffic thread, waiting for room. It fails only when
-/// that thread has ended, and the process with it.
-pub(crate) fn tell(updates: &UpdateSender, update: TrafficUpdate) {
+/// Sends `update` to the traffic thread and blocks while its queue is full. It
+/// fails only after that thread has ended, when the process is about to exit.
+pub(crate) fn send_update(updates: &UpdateSender, update: TrafficUpdate) {
     if updates.blocking_send(update).is_err() {
         event!(EventCode::UpdateTooLate, "");
     }
 }
 
-/// Follows a keyed topic: the newest records first, then what is appended;
-/// after a gap, the newest records again.
+/// Follows a keyed topic: reads the newest record of each key, then the records
+/// that are appended. If records expired before they were read, it starts again
+/// with the newest records.
 pub(crate) fn follow_keyed<R: TopicReader>(
     store: &StoreClient,
     updates: &UpdateSender,
     mut reader: R,
 ) {
     let topic = reader.topic();
-    let mut reach = ReachLog::default();
+    let mut monitor = TopicMonitor::default();
     let mut next: Option<u64> = None;
     loop {
         let step = match next {
             None => store.newest(topic).map(|newest| {
-                reader.reached(true, updates);
+                reader.call_finished(true, updates);
                 let records = newest.records.into_iter();
-                let records = records.map(|kept| kept.record).collect();
+                let records = records.map(|newest_record| newest_record.record).collect();
                 reader.reset(records, updates);
                 newest.next
             }),
             Some(from) => store
-                .read(topic, from, reach.wait_or(reader.wait()))
+                .read(topic, from, monitor.wait_or(reader.wait()))
                 .map(|read| {
-                    reader.reached(true, updates);
+                    reader.call_finished(true, updates);
                     let records = &read.page.records;
                     let count = u64::try_from(records.len()).unwrap_or(u64::MAX);
                     for record in records {
                         match records::decode_keyed(record) {
-                            Some(record) => reader.take(record, updates),
+                            Some(record) => reader.apply(record, updates),
                             None => event!(EventCode::RecordWithoutKey, "topic={topic}"),
                         }
                     }
@@ -105,7 +108,7 @@
         };
         match step {
             Ok(offset) => {
-                reach.succeeded(topic);
+                monitor.succeeded(topic);
                 next = Some(offset);
                 thread::sleep(reader.pause());
             }
@@ -114,15 +117,15 @@
                 next = None;
             }
             Err(error) => {
-                reach.failed(topic, &error);
-                reader.reached(false, updates);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(topic, &error);
+                reader.call_finished(false, updates);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
 }
 
-/// Reads the instances' announcements.
+/// Reads the announcements of instances.
 struct InstancesReader;
 
 impl TopicReader for InstancesReader {
@@ -132,17 +135,17 @@
 
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
         for record in records {
-            self.take(record, updates);
+            self.apply(record, updates);
         }
-        tell(updates, TrafficUpdate::InstancesRead);
+        send_update(updates, TrafficUpdate::InstancesRead);
     }
 
-    fn take(&mut self, record: KeyedRecord, updates: &UpdateSender) {
+    fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender) {
         let Some(value) = record.value else {
             return;
         };
         match codec::decode::<InstanceEntry>(&value) {
-            Ok(entry) => tell(updates, TrafficUpdate::Instance(entry)),
+            Ok(entry) => send_update(updates, TrafficUpdate::Instance(entry)),
             Err(error) => event!(
                 EventCode::AnnouncementUnreadable,
                 "key={} cause={error}",
@@ -152,14 +155,14 @@
     }
 }
 
-/// Follows the instances' announcements, after making the own one.
+/// Publishes the announcement of this instance, then follows the announcements of
+/// all instances.
 pub(crate) fn follow_instances(store: &StoreClient, updates: &UpdateSender, own: &InstanceEntry) {
     announce(store, own);
     follow_keyed(store, updates, InstancesReader);
 }
 
-/// Writes the announcement of `own`, however often it takes. Copies change
-/// nothing.
+/// Publishes the announcement `own` with retries; announcements are idempotent.
 pub(crate) fn announce(store: &StoreClient, own: &InstanceEntry) {
     let value = match codec::encode(own) {
         Ok(value) => value,
@@ -171,11 +174,12 @@
     let record = records::encode_keyed(own.name.as_str(), &value);
     while let Err(error) = store.append(INSTANCES_TOPIC, std::slice::from_ref(&record)) {
         event!(EventCode::AnnouncementRepeated, "cause={error}");
-        thread::sleep(FAILURE_PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
 
-/// Whether this instance reads the account stream now.
+/// Switch by which the traffic thread starts and stops the reading of the account
+/// stream.
 #[derive(Debug, Default)]
 pub(crate) struct AccountsGate {
     open: AtomicBool,
@@ -183,13 +187,13 @@
 }
 
 impl AccountsGate {
-    /// Names the thread that reads.
+    /// Sets the thread that reads the stream.
     pub(crate) fn set_reader(&self, reader: Thread) {
-        // There is one thread, and it is named once.
+        // There is only one reading thread, and it is set once.
         let _first = self.reader.set(reader);
     }
 
-    /// Has the stream read, or not.
+    /// Opens or closes the gate; opening it wakes the reading thread.
     pub(crate) fn set(&self, open: bool) {
         let was_open = self.open.swap(open, Ordering::Relaxed);
         if let Some(reader) = self.reader.get().filter(|_reader| open && !was_open) {
@@ -197,7 +201,7 @@
         }
     }
 
-    /// Waits until the stream is to be read.
+    /// Waits until the gate is open.
     fn wait(&self) {
         while !self.open.load(Ordering::Relaxed) {
             thread::park();
@@ -205,25 +209,25 @@
     }
 }
 
-/// Follows the account stream from its oldest record, after the snapshots if
-/// records have expired, for as long as `gate` is open.
+/// Follows the account stream from its first record while `gate` is open. If
+/// records expired before they were read, it continues from the snapshots.
 pub(crate) fn follow_accounts(store: &StoreClient, updates: &UpdateSender, gate: &AccountsGate) {
-    let mut reach = ReachLog::default();
+    let mut monitor = TopicMonitor::default();
     let mut next = 0;
-    let mut current = false;
+    let mut caught_up = false;
     loop {
         gate.wait();
-        let wait = if current {
-            reach.wait()
+        let wait = if caught_up {
+            monitor.wait()
         } else {
             Duration::ZERO
         };
         let page = match store.read(account::STREAM, next, wait) {
             Err(StoreError::Expired { first }) => {
                 event!(EventCode::AccountsExpired, "first={first} next={next}");
-                resume_accounts(store, updates, first).map(|()| {
+                read_snapshots(store, updates, first).map(|()| {
                     next = first;
-                    current = false;
+                    caught_up = false;
                     None
                 })
             }
@@ -232,41 +236,42 @@
         match page {
             Ok(None) => {}
             Ok(Some(page)) => {
-                reach.succeeded(account::STREAM);
+                monitor.succeeded(account::STREAM);
                 let end = page.end;
-                tell(updates, TrafficUpdate::AccountsEnd(end));
+                send_update(updates, TrafficUpdate::AccountsEnd(end));
                 let first = next;
                 let records = page.records;
                 next += u64::try_from(records.len()).unwrap_or(u64::MAX);
                 if !records.is_empty() {
-                    tell(updates, TrafficUpdate::Accounts { first, records });
+                    send_update(updates, TrafficUpdate::Accounts { first, records });
                 }
-                if next >= end && !current {
-                    current = true;
-                    tell(updates, TrafficUpdate::AccountsCaughtUp);
+                if next >= end && !caught_up {
+                    caught_up = true;
+                    send_update(updates, TrafficUpdate::AccountsCaughtUp);
                 }
-                if current {
-                    thread::park_timeout(ACCOUNTS_PAUSE);
+                if caught_up {
+                    thread::park_timeout(ACCOUNTS_READ_INTERVAL);
                 }
             }
             Err(error) => {
-                reach.failed(account::STREAM, &error);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(account::STREAM, &error);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
 }
 
-/// Hands the snapshots over that stand for the records before `first`.
-fn resume_accounts(
+/// Sends the snapshots that replace the records before `first` to the traffic
+/// thread.
+fn read_snapshots(
     store: &StoreClient,
     updates: &UpdateSender,
     first: u64,
 ) -> platform::store::Result<()> {
     let newest = store.newest(SNAPSHOT_TOPIC)?;
     let mut snapshots = Vec::new();
-    for kept in newest.records {
-        let record = kept.record;
+    for newest_record in newest.records {
+        let record = newest_record.record;
         let value = record.value.unwrap_or_default();
         match codec::decode::<AccountSnapshot>(&value) {
             Ok(snapshot) => snapshots.push(snapshot),
@@ -277,7 +282,7 @@
             ),
         }
     }
-    tell(
+    send_update(
         updates,
         TrafficUpdate::AccountsTruncated { first, snapshots },
     );
--- a/crates/hibiscus-front/src/serve.rs
+++ b/crates/hibiscus-front/src/serve.rs
@@ -1,4 +1,5 @@
-//! Builds the daemon: the traffic thread and the threads around it.
+//! Starts the traffic thread and the threads that move records, serves requests
+//! and performs the graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -49,8 +50,8 @@
 use metrics_exporter_prometheus::PrometheusBuilder;
 use metrics_exporter_prometheus::PrometheusHandle;
 use metrics_exporter_prometheus::PrometheusRecorder;
-use platform::answers;
-use platform::headers::PlatformDialect;
+use platform::endpoints;
+use platform::headers::PlatformFormat;
 use platform::settings::ProcessSettings;
 use platform::store::StoreClient;
 use tokio::net::TcpListener;
@@ -60,54 +61,54 @@
 use crate::config;
 use crate::follow;
 use crate::follow::AccountsGate;
-use crate::relay::RelayDuty;
+use crate::relay::RelayRole;
 use crate::servers;
 use crate::signals;
 use crate::suspects;
 
-/// Path of the metrics.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
-/// Time for which a caller keeps an address answer: an instance that died is
-/// forgotten within it.
-const ADDRESS_LIFETIME: Duration = Duration::from_secs(2);
-/// Time between two looks at budgets and servers.
-const TICK: Duration = Duration::from_millis(250);
-/// Time between two looks at the levels; the platform reads them each 5 s.
-const LEVELS_PAUSE: Duration = Duration::from_secs(2);
-/// Time between two looks at the use of memory: a link of 10 Mbit/s brings
-/// 0.6 MB meanwhile.
-const MEMORY_PAUSE: Duration = Duration::from_millis(500);
-/// Time after the begin of a planned stop during which new requests are still
-/// served: callers keep addresses for up to three lifetimes, and streams need
-/// their time before the process is killed.
-const SERVING_STOP: Duration = Duration::from_millis(3_000);
-/// Part of the time between SIGTERM and SIGKILL that is used.
-const STOP_PART: f64 = 0.95;
-/// Time for the callers that came last, once the accounts are closed.
-const LAST_CALLERS: Duration = Duration::from_millis(600);
-/// Time between two looks at them.
-const CALLERS_PAUSE: Duration = Duration::from_millis(5);
-/// Stack of the threads that only move records, in bytes.
-const STACK_BYTES: usize = 256 * 1024;
+/// Time for which a caller caches the addresses of instances, after which it no
+/// longer uses an instance that has failed.
+const ADDRESS_TTL: Duration = Duration::from_secs(2);
+/// Interval of the reviews of budgets and servers.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which gauges are updated; the platform reads them every 5 s.
+const LEVELS_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval of the checks of memory use: a link of 10 Mbit/s transfers 0.6 MB
+/// within it.
+const MEMORY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after the start of a graceful shutdown during which new requests are still
+/// served: callers cache addresses for up to three lifetimes, and streams need
+/// the remaining time before the process is killed.
+const SHUTDOWN_SERVING_TIME: Duration = Duration::from_millis(3_000);
+/// Share of the time between SIGTERM and SIGKILL that the shutdown may take.
+const SHUTDOWN_SHARE: f64 = 0.95;
+/// Time to respond to the last connections after the accounts are closed.
+const LAST_CALLERS_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval at which a shutdown checks for open connections of callers.
+const CALLERS_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Stack size of the threads that only move records.
+const THREAD_STACK_BYTES: usize = 256 * 1024;
 
-/// Why the daemon did not start.
+/// Error that prevents the start of the daemon.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
     /// A port cannot be opened.
     #[error("failed to open the port {address}")]
     Bind {
-        /// The address.
+        /// Address of the port.
         address: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// The system refuses a runtime, a thread or a signal handler.
-    #[error("failed to start a thread or a handler")]
+    /// A runtime, a thread or a signal handler cannot be created.
+    #[error("failed to start a runtime, a thread or a signal handler")]
     Start(#[from] io::Error),
-    /// The recorder of the metrics cannot be had.
+    /// The recorder of the metrics cannot be created.
     #[error("failed to start the metrics")]
     Metrics(#[from] BuildError),
-    /// The link to the other instances cannot be had.
+    /// The link to the other instances cannot be opened.
     #[error("failed to start the link to the other instances")]
     Link(#[from] PinnedError),
 }
@@ -115,23 +116,23 @@
 /// Result of running the daemon.
 pub(crate) type Result<T> = std::result::Result<T, ServeError>;
 
-/// What serving needs of the other duties.
-struct FrontDuties {
+/// Parts of the daemon that [`run`] passes to [`serve`].
+struct ServeParts {
     store: StoreClient,
     own: InstanceEntry,
     keys: PinnedKeys,
-    duty: Arc<RelayDuty>,
+    role: Arc<RelayRole>,
     accounts: Arc<AccountsGate>,
 }
 
-/// State of this daemon's request path.
-type FrontState = TrafficState<PlatformDialect>;
+/// State of the traffic thread with the platform's header format.
+type FrontState = TrafficState<PlatformFormat>;
 
-/// Runs the daemon until a planned stop is complete.
+/// Runs the daemon until a graceful shutdown is complete.
 ///
 /// # Errors
 ///
-/// Fails when a port, a thread or a signal handler cannot be had.
+/// Fails if a port, a thread or a signal handler cannot be created.
 pub(crate) fn run(settings: ProcessSettings) -> Result<()> {
     let recorder = recorder()?;
     let metrics = recorder.handle();
@@ -178,25 +179,25 @@
     );
     let store = StoreClient::new(settings.store);
     let (sender, receiver) = updates::channel();
-    let (outbox, batches) = mpsc::sync_channel(append::RING_CAPACITY);
-    let (news, suspect_batches) = mpsc::sync_channel(suspects::RING_CAPACITY);
+    let (outbox, batches) = mpsc::sync_channel(append::QUEUE_CAPACITY);
+    let (suspect_sender, suspect_batches) = mpsc::sync_channel(suspects::QUEUE_CAPACITY);
     spawn("signals", {
         let sender = sender.clone();
         move || signals::run(&mut signals, &sender)
     })?;
-    let duty = Arc::new(RelayDuty::default());
-    let board = config::board(sender.clone(), Arc::clone(&duty));
+    let role = Arc::new(RelayRole::default());
+    let shared = config::new_shared(sender.clone(), Arc::clone(&role));
     spawn("config", {
-        let (store, board) = (store.clone(), Arc::clone(&board));
-        move || config::follow_operators(&store, &board)
+        let (store, shared) = (store.clone(), Arc::clone(&shared));
+        move || config::follow_operators(&store, &shared)
     })?;
     spawn("changes", {
-        let (store, board) = (store.clone(), Arc::clone(&board));
-        move || config::follow_changes(&store, &board)
+        let (store, shared) = (store.clone(), Arc::clone(&shared));
+        move || config::follow_deltas(&store, &shared)
     })?;
     spawn("servers", {
-        let (store, sender, duty) = (store.clone(), sender.clone(), Arc::clone(&duty));
-        move || servers::follow_servers(&store, &sender, &duty)
+        let (store, sender, role) = (store.clone(), sender.clone(), Arc::clone(&role));
+        move || servers::follow_servers(&store, &sender, &role)
     })?;
     let accounts = Arc::new(AccountsGate::default());
     let reader = spawn("accounts", {
@@ -228,12 +229,12 @@
         window: settings.retry_window,
     });
     let state = Rc::new(TrafficState::new(TrafficComponents {
-        wire_format: PlatformDialect,
+        wire_format: PlatformFormat,
         data_centre: settings.data_centre.clone(),
         budgets: desk,
         retries,
         directory: InstanceDirectory::new(own.clone()),
-        suspects: SuspectTracker::new(own.name.clone(), news),
+        suspects: SuspectTracker::new(own.name.clone(), suspect_sender),
         memory_shares: MemoryShares::of_machine(settings.memory_bytes, settings.descriptors),
         limits,
         first_start: settings.first_start,
@@ -246,11 +247,11 @@
             state,
             receiver,
             metrics,
-            FrontDuties {
+            ServeParts {
                 store,
                 own,
                 keys,
-                duty,
+                role,
                 accounts,
             },
         ),
@@ -261,7 +262,7 @@
     Ok(())
 }
 
-/// The recorder of the metrics, with the bounds of its histograms.
+/// Creates the metrics recorder with the bucket bounds of its histograms.
 fn recorder() -> Result<PrometheusRecorder> {
     let times = &traffic_metrics::TIME_BOUNDS;
     let bounds = [
@@ -269,7 +270,7 @@
         (traffic_metrics::REQUEST_TIME, &times[..]),
         (traffic_metrics::EVENT_GAP, &traffic_metrics::GAP_BOUNDS[..]),
         (traffic_metrics::TIMER_LATENESS, &times[..]),
-        (platform::store::CALL_TIME, &times[..]),
+        (platform::store::CALL_SECONDS_METRIC, &times[..]),
     ];
     let mut builder = PrometheusBuilder::new();
     for (name, bounds) in bounds {
@@ -282,25 +283,25 @@
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<thread::JoinHandle<()>> {
     thread::Builder::new()
         .name(name.to_owned())
-        .stack_size(STACK_BYTES)
+        .stack_size(THREAD_STACK_BYTES)
         .spawn(work)
 }
 
-/// Opens the ports and serves until a planned stop is complete.
+/// Opens the ports and serves until a graceful shutdown is complete.
 async fn serve(
     settings: &ProcessSettings,
     state: Rc<FrontState>,
     mut updates: UpdateReceiver,
     metrics: PrometheusHandle,
-    duties: FrontDuties,
+    parts: ServeParts,
 ) -> Result<()> {
-    let FrontDuties {
+    let ServeParts {
         store,
         own,
         keys,
-        duty,
+        role,
         accounts,
-    } = duties;
+    } = parts;
     let callers = bind(settings.callers).await?;
     let readiness = bind(settings.readiness).await?;
     let directory = bind(settings.directory).await?;
@@ -312,28 +313,28 @@
     tokio::task::spawn_local(peers::answer_peer_requests(Rc::clone(&state), calls));
     tokio::task::spawn_local(recovery::close_unproven(Rc::clone(&state)));
     tokio::task::spawn_local(recovery::close_ended_processes(Rc::clone(&state)));
-    tokio::task::spawn_local(members::keep(Rc::clone(&state), answers::READINESS_PATH));
+    tokio::task::spawn_local(members::keep(Rc::clone(&state), endpoints::READINESS_PATH));
     tokio::task::spawn_local(crash_detector::run(Rc::clone(&state)));
     tokio::task::spawn_local(hibiscus_traffic::suspects::run(Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_callers(callers, Rc::clone(&state)));
     tokio::task::spawn_local(port::serve_status_requests(
         readiness,
         Rc::clone(&state),
-        answer_ready,
+        readiness_response,
     ));
-    let lifetime = ADDRESS_LIFETIME.min(settings.address_lifetime);
+    let lifetime = ADDRESS_TTL.min(settings.address_lifetime);
     tokio::task::spawn_local(port::serve_status_requests(
         directory,
         Rc::clone(&state),
-        move |state: &FrontState, request| answer_addresses(state, request, lifetime),
+        move |state: &FrontState, request| addresses_response(state, request, lifetime),
     ));
     tokio::task::spawn_local(port::serve_status_requests(operators, Rc::clone(&state), {
         let metrics = metrics.clone();
-        move |_state: &FrontState, request: &Request<Incoming>| answer_metrics(&metrics, request)
+        move |_state: &FrontState, request: &Request<Incoming>| metrics_response(&metrics, request)
     }));
-    tokio::task::spawn_local(show_levels(Rc::clone(&state), metrics));
+    tokio::task::spawn_local(update_gauges(Rc::clone(&state), metrics));
     tokio::task::spawn_local(watch_memory(Rc::clone(&state)));
-    let mut tick = tokio::time::interval(TICK);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while state.shutdown_start().is_none() {
         tokio::select! {
@@ -347,7 +348,7 @@
                 state.expire_servers();
                 state.directory.borrow_mut().tick();
                 let large = state.directory.borrow().is_large();
-                duty.set(state.relay_rank(), large);
+                role.set(state.relay_rank(), large);
                 state.membership_changed.notify_one();
                 state.close_slow_heads();
                 state.share_server_connections();
@@ -364,26 +365,26 @@
         };
         follow::announce(&store, &shutting_down);
     })?;
-    stop(settings, &state, &mut updates).await;
+    shut_down(settings, &state, &mut updates).await;
     Ok(())
 }
 
-/// Shows levels for as long as the runtime runs, and lets the recorder sort
-/// what the histograms took: until then it keeps every value.
-async fn show_levels(state: Rc<FrontState>, metrics: PrometheusHandle) {
+/// Updates gauges for as long as the runtime runs, and runs the upkeep of the
+/// recorder, which otherwise keeps every value of the histograms.
+async fn update_gauges(state: Rc<FrontState>, metrics: PrometheusHandle) {
     loop {
-        tokio::time::sleep(LEVELS_PAUSE).await;
+        tokio::time::sleep(LEVELS_INTERVAL).await;
         state.show_levels();
         state.suspects.tick(state.maintains_suspects(), state.now());
         if let Some(link) = state.link.borrow().as_ref() {
-            show_link(&link.counts());
+            record_link_metrics(&link.counts());
         }
         metrics.run_upkeep();
     }
 }
 
-/// Shows what the link to the other instances counts.
-fn show_link(counts: &LinkCounts) {
+/// Records the counts of the link to the other instances as metrics.
+fn record_link_metrics(counts: &LinkCounts) {
     let open = [("out", counts.open_out), ("in", counts.open_in)];
     for (direction, count) in open {
         gauge!("hibiscus_peer_connections", "direction" => direction).set(count as f64);
@@ -401,10 +402,11 @@
     counter!("hibiscus_peer_calls_late_total").absolute(counts.calls_late);
 }
 
-/// Keeps the use of memory in bounds for as long as the runtime runs.
+/// Checks the memory use for as long as the runtime runs; the state sheds load
+/// when memory is short.
 async fn watch_memory(state: Rc<FrontState>) {
     loop {
-        tokio::time::sleep(MEMORY_PAUSE).await;
+        tokio::time::sleep(MEMORY_INTERVAL).await;
         state.drop_unusable_links();
         if let Some(resident) = machine::resident() {
             state.observe_memory(resident);
@@ -412,12 +414,17 @@
     }
 }
 
-/// Serves on while callers learn of the stop, then refuses what is new and
-/// waits for what is in progress.
-async fn stop(settings: &ProcessSettings, state: &Rc<FrontState>, updates: &mut UpdateReceiver) {
-    let begun = tokio::time::Instant::now();
-    let limit = begun + settings.stop_limit.mul_f64(STOP_PART);
-    let mut tick = tokio::time::interval(TICK);
+/// Shuts down gracefully: serves until callers have stopped using this instance,
+/// then refuses new requests, waits for those in progress and settles the
+/// accounts.
+async fn shut_down(
+    settings: &ProcessSettings,
+    state: &Rc<FrontState>,
+    updates: &mut UpdateReceiver,
+) {
+    let started = tokio::time::Instant::now();
+    let limit = started + settings.termination_grace.mul_f64(SHUTDOWN_SHARE);
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     loop {
         tokio::select! {
             update = updates.recv() => {
@@ -427,7 +434,7 @@
             }
             _at = tick.tick() => state.review_budgets(),
         }
-        if begun.elapsed() < SERVING_STOP {
+        if started.elapsed() < SHUTDOWN_SERVING_TIME {
             continue;
         }
         if !state.is_closing() {
@@ -444,19 +451,20 @@
     {
         event!(EventCode::TokensNotReturned, "");
     }
-    // The last connections are answered that nothing runs here any more.
+    // The last connections get a response that this instance has shut down.
     state.close_port();
-    let ended = limit.min(tokio::time::Instant::now() + LAST_CALLERS);
+    let stop_time = limit.min(tokio::time::Instant::now() + LAST_CALLERS_TIMEOUT);
     loop {
-        // Lets the port's task accept what waits there.
-        tokio::time::sleep(CALLERS_PAUSE).await;
-        if state.callers.is_empty() || tokio::time::Instant::now() >= ended {
+        // Lets the port's task accept connections from the listen queue.
+        tokio::time::sleep(CALLERS_POLL_INTERVAL).await;
+        if state.callers.is_empty() || tokio::time::Instant::now() >= stop_time {
             break;
         }
     }
 }
 
-/// Gives tokens back and writes the last snapshots, until the store has both.
+/// Returns the unspent tokens and writes the last snapshots, and waits until the
+/// store has acknowledged both.
 async fn settle_accounts(state: &Rc<FrontState>, updates: &mut UpdateReceiver) {
     supply::return_all(state).await;
     state.budgets.return_all_tokens();
@@ -465,7 +473,7 @@
             state.apply(update);
         }
     }
-    // What an instance knows that does not follow the stream is old.
+    // The accounts of an instance that does not follow the stream are outdated.
     if !state.reads_account_stream() {
         return;
     }
@@ -483,9 +491,9 @@
     listener.map_err(|source| ServeError::Bind { address, source })
 }
 
-/// Answers the readiness check.
-fn answer_ready(state: &FrontState, request: &Request<Incoming>) -> Response<ResponseBody> {
-    if request.uri().path() != answers::READINESS_PATH {
+/// Responds to a readiness check.
+fn readiness_response(state: &FrontState, request: &Request<Incoming>) -> Response<ResponseBody> {
+    if request.uri().path() != endpoints::READINESS_PATH {
         return response::status_response(http::StatusCode::NOT_FOUND);
     }
     state.tally.readiness_requests.add();
@@ -496,27 +504,27 @@
     }
 }
 
-/// Answers a caller that asks which instances to use.
-fn answer_addresses(
+/// Responds to a caller with the addresses of the instances to use.
+fn addresses_response(
     state: &FrontState,
     request: &Request<Incoming>,
     lifetime: Duration,
 ) -> Response<ResponseBody> {
-    if request.uri().path() != answers::DIRECTORY_PATH {
+    if request.uri().path() != endpoints::RESOLVE_PATH {
         return response::status_response(http::StatusCode::NOT_FOUND);
     }
     let query = request.uri().query().unwrap_or_default();
-    let data_centre = answers::caller_data_centre(query);
+    let data_centre = endpoints::caller_data_centre(query);
     let directory = state.directory.borrow();
     let caller = request.extensions().get::<CallerAddress>();
     let caller = caller.map(|caller| caller.0);
     let addresses = directory.addresses_for(data_centre.as_ref(), caller);
-    let body = answers::addresses_body(&addresses, lifetime);
+    let body = endpoints::addresses_body(&addresses, lifetime);
     response::json_response(body)
 }
 
-/// Answers a call for the metrics.
-fn answer_metrics(
+/// Responds to a request for the metrics.
+fn metrics_response(
     metrics: &PrometheusHandle,
     request: &Request<Incoming>,
 ) -> Response<ResponseBody> {
--- a/crates/hibiscus-front/src/servers.rs
+++ b/crates/hibiscus-front/src/servers.rs
@@ -1,8 +1,9 @@
-//! Follows the servers' entries.
+//! Follows the entries of the backend servers.
 //!
-//! In a small fleet each instance reads them. In a large one a few relays do,
-//! and publish what changes ([`hibiscus_traffic::server_changes`]); the others
-//! follow the news, and read the entries when news are missing or do not come.
+//! In a small fleet each instance reads the entries. In a large fleet a few
+//! relays read them and publish change sets ([`hibiscus_traffic::server_changes`]).
+//! The other instances follow the change sets, and read the entries if a change
+//! set is missing or none arrives in time.
 
 use std::thread;
 use std::time::Duration;
@@ -29,34 +30,34 @@
 use platform::store::StoreClient;
 use platform::store::StoreError;
 
-use crate::follow::tell;
-use crate::reach::FAILURE_PAUSE;
-use crate::reach::READ_WAIT;
-use crate::reach::ReachLog;
-use crate::relay::RelayDuty;
+use crate::follow::send_update;
+use crate::relay::RelayRole;
+use crate::topic_monitor::READ_WAIT;
+use crate::topic_monitor::RETRY_DELAY;
+use crate::topic_monitor::TopicMonitor;
 
-/// Pause between reads of the servers' entries, which are written all the
-/// time: a leaving server is known well within the 2 s that it may take.
-const ENTRIES_PAUSE: Duration = Duration::from_millis(250);
+/// Pause between reads of the entries, which are written continuously: a draining
+/// server must be detected within 2 s.
+const ENTRIES_READ_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Follows the servers' entries for as long as the process runs.
-pub(crate) fn follow_servers(store: &StoreClient, updates: &UpdateSender, duty: &RelayDuty) {
+/// Follows the entries of the servers for as long as the process runs.
+pub(crate) fn follow_servers(store: &StoreClient, updates: &UpdateSender, role: &RelayRole) {
     let mut follower = ServersFollower {
         store,
         updates,
-        duty,
-        begun: Instant::now(),
-        book: None,
+        role,
+        started: Instant::now(),
+        registry: None,
         draft: None,
-        news_next: 0,
-        heard: Duration::ZERO,
+        changes_next: 0,
+        last_received: Duration::ZERO,
     };
-    let mut reach = ReachLog::default();
+    let mut monitor = TopicMonitor::default();
     loop {
-        match follower.step(reach.wait_or(READ_WAIT)) {
+        match follower.read_once(monitor.wait_or(READ_WAIT)) {
             Ok(()) => {
-                reach.succeeded(servers::TOPIC);
-                tell(updates, TrafficUpdate::ServerTopicRead);
+                monitor.succeeded(servers::TOPIC);
+                send_update(updates, TrafficUpdate::ServerTopicRead);
             }
             Err(StoreError::Expired { first }) => {
                 event!(
@@ -64,178 +65,184 @@
                     "topic={} first={first}",
                     servers::TOPIC
                 );
-                follower.book = None;
+                follower.registry = None;
             }
             Err(error) => {
-                reach.failed(servers::TOPIC, &error);
-                tell(updates, TrafficUpdate::ServerTopicUnavailable);
-                thread::sleep(FAILURE_PAUSE);
+                monitor.failed(servers::TOPIC, &error);
+                send_update(updates, TrafficUpdate::ServerTopicUnavailable);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
 }
 
-/// Follows the servers' entries for one instance.
+/// Follows the entries of the servers, according to the role of the instance.
 struct ServersFollower<'a> {
     store: &'a StoreClient,
     updates: &'a UpdateSender,
-    duty: &'a RelayDuty,
-    begun: Instant,
-    /// The servers; `None` before their entries were read.
-    book: Option<EntryTable>,
-    /// What this instance is to publish, while it is a relay.
+    role: &'a RelayRole,
+    started: Instant,
+    /// The servers; `None` until all entries were read.
+    registry: Option<EntryTable>,
+    /// Changes that this instance will publish; only set while it is a relay.
     draft: Option<PendingChanges>,
-    /// Offset of the next record of the news.
-    news_next: u64,
-    /// When news came last.
-    heard: Duration,
+    /// Offset of the next record in the topic of the change sets.
+    changes_next: u64,
+    /// Time at which the last change set was received, since `started`.
+    last_received: Duration,
 }
 
 impl ServersFollower<'_> {
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
-    /// One read, by the present duty; it waits for news up to `wait`.
-    fn step(&mut self, wait: Duration) -> Result<()> {
-        let Some(mut book) = self.book.take() else {
-            return self.begin();
+    /// Reads once, according to the current role, waiting up to `wait` for a record.
+    fn read_once(&mut self, wait: Duration) -> Result<()> {
+        let Some(mut registry) = self.registry.take() else {
+            return self.read_all();
         };
-        let is_relay = self.duty.is_relay();
-        let done = if !self.duty.is_large() {
+        let is_relay = self.role.is_relay();
+        let done = if !self.role.is_large() {
             self.draft = None;
-            self.read_entries(&mut book, wait)
+            self.read_entries(&mut registry, wait)
         } else if is_relay {
-            self.relay(&mut book, wait)
+            self.relay(&mut registry, wait)
         } else {
-            self.follow_news(&mut book, wait)
+            self.follow_changes(&mut registry, wait)
         };
-        // What was read stays, whatever the last call came to.
+        // The registry stays valid after a failed call, unless records expired unread.
         if !matches!(done, Err(StoreError::Expired { .. })) {
-            self.book = Some(book);
+            self.registry = Some(registry);
         }
         done
     }
 
-    /// Reads the newest entries of all servers.
-    fn begin(&mut self) -> Result<()> {
-        // News from here on are missed by nobody who reads the entries next.
-        self.news_next = self.store.end(SERVER_CHANGES_TOPIC)?;
+    /// Reads the entries of all servers.
+    fn read_all(&mut self) -> Result<()> {
+        // The end is read before the entries, so that no change set is missed.
+        self.changes_next = self.store.end(SERVER_CHANGES_TOPIC)?;
         let newest = self.store.newest(servers::TOPIC)?;
         let mut entries = Vec::with_capacity(newest.records.len());
-        for kept in newest.records {
-            match decode(kept.record) {
+        for newest_record in newest.records {
+            match decode_change(newest_record.record) {
                 ServerChange::Present(entry) => entries.push(entry),
                 ServerChange::Gone(name) => event!(EventCode::EntryUnreadable, "key={name}"),
             }
         }
-        self.book = Some(EntryTable::new(&entries, newest.next));
+        self.registry = Some(EntryTable::new(&entries, newest.next));
         self.draft = None;
-        self.heard = self.now();
-        tell(self.updates, TrafficUpdate::AllServers(entries));
+        self.last_received = self.now();
+        send_update(self.updates, TrafficUpdate::AllServers(entries));
         Ok(())
     }
 
-    /// Reads the entries that were written since, waiting up to `wait`, and
-    /// pauses.
-    fn read_entries(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
-        let from = book.position();
+    /// Reads the entries that were written since the last read, waiting up to
+    /// `wait`, and then pauses.
+    fn read_entries(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
+        let from = registry.position();
         let read = self.store.read(servers::TOPIC, from, wait)?;
         let now = self.now();
         for (offset, record) in (from..).zip(read.page.records) {
             let Some(record) = records::decode_keyed(&record) else {
                 event!(EventCode::RecordWithoutKey, "topic={}", servers::TOPIC);
-                book.advance(offset + 1);
+                registry.advance(offset + 1);
                 continue;
             };
-            if let Some(change) = book.apply(offset, decode(record)) {
+            if let Some(change) = registry.apply(offset, decode_change(record)) {
                 if let Some(draft) = &mut self.draft {
                     draft.push(offset, change.clone(), now);
                 }
-                self.tell_change(change);
+                self.send_change(change);
             }
         }
-        thread::sleep(ENTRIES_PAUSE);
+        thread::sleep(ENTRIES_READ_INTERVAL);
         Ok(())
     }
 
-    /// Reads the entries, and publishes what changed unless a relay before this
-    /// one does.
-    fn relay(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
+    /// Reads the entries as a relay, and publishes the changes unless a relay with
+    /// a lower rank does.
+    fn relay(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
         if self.draft.is_none() {
-            self.draft = Some(PendingChanges::new(book.position(), self.now()));
+            self.draft = Some(PendingChanges::new(registry.position(), self.now()));
         }
-        self.read_entries(book, wait)?;
-        let place = self.duty.place();
-        if place > 0 {
-            self.read_news(book, Duration::ZERO)?;
+        self.read_entries(registry, wait)?;
+        let rank = self.role.rank();
+        if rank > 0 {
+            self.read_changes(registry, Duration::ZERO)?;
         }
         let now = self.now();
         let Some(draft) = &mut self.draft else {
             return Ok(());
         };
-        if !draft.is_due(place, now) {
+        if !draft.is_due(rank, now) {
             return Ok(());
         }
-        let news = draft.change_sets(book.position());
-        let mut encoded = Vec::with_capacity(news.len());
-        for part in &news {
-            match codec::encode(part) {
+        let change_sets = draft.change_sets(registry.position());
+        let mut encoded = Vec::with_capacity(change_sets.len());
+        for change_set in &change_sets {
+            match codec::encode(change_set) {
                 Ok(record) => encoded.push(record),
                 Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
             }
         }
         match self.store.append(SERVER_CHANGES_TOPIC, &encoded) {
-            // Copies change nothing, so one whose reply is lost goes out again.
-            Ok(_receipt) => draft.note_published(book.position(), now),
+            // Change sets are idempotent, so an append without a reply is repeated.
+            Ok(_receipt) => draft.note_published(registry.position(), now),
             Err(error) => event!(EventCode::ServerNewsNotPublished, "cause={error}"),
         }
         Ok(())
     }
 
-    /// Follows the news; without any for a while reads the entries.
-    fn follow_news(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
+    /// Follows the change sets, and reads the entries if none has arrived for some
+    /// time.
+    fn follow_changes(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
         if self.draft.take().is_some() {
-            // A relay reads no news; what it missed shows as a gap.
-            self.news_next = self.store.end(SERVER_CHANGES_TOPIC)?;
-            self.heard = self.now();
+            // A relay does not read all change sets; a missed one is detected as a
+            // gap.
+            self.changes_next = self.store.end(SERVER_CHANGES_TOPIC)?;
+            self.last_received = self.now();
         }
-        if server_changes::is_stale(self.heard, self.now()) {
-            self.read_entries(book, wait)?;
-            return self.read_news(book, Duration::ZERO);
+        if server_changes::is_stale(self.last_received, self.now()) {
+            self.read_entries(registry, wait)?;
+            return self.read_changes(registry, Duration::ZERO);
         }
-        self.read_news(book, wait.min(CHANGE_SET_INTERVAL))
+        self.read_changes(registry, wait.min(CHANGE_SET_INTERVAL))
     }
 
-    /// Reads the news that were published since, waiting up to `wait`.
-    fn read_news(&mut self, book: &mut EntryTable, wait: Duration) -> Result<()> {
-        let read = match self.store.read(SERVER_CHANGES_TOPIC, self.news_next, wait) {
+    /// Reads the change sets that were published since the last read, waiting up to
+    /// `wait`.
+    fn read_changes(&mut self, registry: &mut EntryTable, wait: Duration) -> Result<()> {
+        let read = match self
+            .store
+            .read(SERVER_CHANGES_TOPIC, self.changes_next, wait)
+        {
             Ok(read) => read,
             Err(StoreError::Expired { first }) => {
-                self.news_next = first;
+                self.changes_next = first;
                 return Ok(());
             }
             Err(error) => return Err(error),
         };
         let now = self.now();
         for record in read.page.records {
-            self.news_next += 1;
-            let news = match codec::decode::<ServerChangeSet>(&record) {
-                Ok(news) => news,
+            self.changes_next += 1;
+            let change_set = match codec::decode::<ServerChangeSet>(&record) {
+                Ok(change_set) => change_set,
                 Err(error) => {
                     event!(EventCode::ServerNewsUnreadable, "cause={error}");
                     continue;
                 }
             };
-            self.heard = now;
+            self.last_received = now;
             if let Some(draft) = &mut self.draft {
-                draft.note_published(news.upto, now);
+                draft.note_published(change_set.upto, now);
             }
-            let upto = news.upto;
-            match book.apply_change_set(news) {
+            let upto = change_set.upto;
+            match registry.apply_change_set(change_set) {
                 Ok(changes) => {
                     for change in changes {
-                        self.tell_change(change);
+                        self.send_change(change);
                     }
                 }
                 Err(gap) => {
@@ -244,24 +251,24 @@
                         "position={} upto={upto}",
                         gap.position
                     );
-                    self.read_entries(book, Duration::ZERO)?;
+                    self.read_entries(registry, Duration::ZERO)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn tell_change(&self, change: ServerChange) {
+    fn send_change(&self, change: ServerChange) {
         let update = match change {
             ServerChange::Present(entry) => TrafficUpdate::Server(entry),
             ServerChange::Gone(name) => TrafficUpdate::ServerRemoved(name),
         };
-        tell(self.updates, update);
+        send_update(self.updates, update);
     }
 }
 
-/// What a record says of a server; bytes that name no server remove it.
-fn decode(record: KeyedRecord) -> ServerChange {
+/// Decodes a record; an invalid entry counts as the removal of the server.
+fn decode_change(record: KeyedRecord) -> ServerChange {
     let entry: Option<ServerEntry> = record
         .value
         .as_ref()
--- a/crates/hibiscus-front/src/suspects.rs
+++ b/crates/hibiscus-front/src/suspects.rs
@@ -1,7 +1,8 @@
-//! The fleet's topic of requests under which servers ended.
+//! Reads and writes the fleet's topic of crash reports: requests during which a
+//! server crashed.
 //!
-//! It is keyed by request and server, so the store keeps what is in force and
-//! a process that starts reads no history.
+//! The topic is keyed by request and server, so the store keeps the reports that
+//! are in force and a starting process reads no history.
 
 use std::sync::mpsc::Receiver;
 use std::thread;
@@ -24,21 +25,22 @@
 use crate::follow;
 use crate::follow::TopicReader;
 
-/// The topic.
+/// Topic of the crash reports.
 const TOPIC: &str = "keyed.suspects";
-/// Batches that wait for the thread that appends.
-pub(crate) const RING_CAPACITY: usize = 64;
-/// Time for which a read waits for a record. A connection that fell silent
-/// shows 0.9 s after it, within the 3 s in which instances must know.
+/// Capacity of the queue of batches to the appending thread.
+pub(crate) const QUEUE_CAPACITY: usize = 64;
+/// Time for which a read waits for a record. A dead connection is detected 0.9 s
+/// after it, within the 3 s in which instances must receive a report.
 const READ_WAIT: Duration = Duration::from_secs(2);
-/// Time for which news are gathered into one append.
-const GATHER_TIME: Duration = Duration::from_millis(20);
-/// Pause after a failed append.
-const FAILURE_PAUSE: Duration = Duration::from_millis(400);
-/// Records kept while the store is away; the oldest go first.
-const KEPT_LIMIT: usize = 4_096;
+/// Time to collect further records for one append.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Delay before the retry of a failed append.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Largest number of records to keep while the store is unreachable; the oldest
+/// are dropped first.
+const PENDING_RECORDS_LIMIT: usize = 4_096;
 
-/// Reads the topic.
+/// Reads the crash reports.
 struct SuspectsReader;
 
 impl TopicReader for SuspectsReader {
@@ -51,92 +53,94 @@
     }
 
     fn reset(&mut self, records: Vec<KeyedRecord>, updates: &UpdateSender) {
-        let mut ends = Vec::with_capacity(records.len());
+        let mut reports = Vec::with_capacity(records.len());
         for record in records {
-            if let Some(SuspectRecord::Crashed(evidence)) = decode(&record) {
-                ends.push(evidence);
+            if let Some(SuspectRecord::Crashed(report)) = decode(&record) {
+                reports.push(report);
             }
         }
-        let update = SuspectUpdate::Snapshot(ends);
-        follow::tell(updates, TrafficUpdate::Suspects(update));
+        let update = SuspectUpdate::Snapshot(reports);
+        follow::send_update(updates, TrafficUpdate::Suspects(update));
     }
 
-    fn take(&mut self, record: KeyedRecord, updates: &UpdateSender) {
-        if let Some(news) = decode(&record) {
-            let update = SuspectUpdate::Appended(news);
-            follow::tell(updates, TrafficUpdate::Suspects(update));
+    fn apply(&mut self, record: KeyedRecord, updates: &UpdateSender) {
+        if let Some(suspect_record) = decode(&record) {
+            let update = SuspectUpdate::Appended(suspect_record);
+            follow::send_update(updates, TrafficUpdate::Suspects(update));
         }
     }
 }
 
-/// Decodes a record; `None` when another writer left it.
+/// Decodes a record; `None` if it is not a valid crash report, such as one from
+/// another writer.
 fn decode(record: &KeyedRecord) -> Option<SuspectRecord> {
     let key = CrashKey::parse(&record.key);
-    let news = match &record.value {
+    let suspect_record = match &record.value {
         None => key.map(SuspectRecord::Removed),
         Some(value) => codec::decode::<CrashReport>(value)
             .ok()
-            .filter(|evidence| Some(evidence.key()) == key)
+            .filter(|report| Some(report.key()) == key)
             .map(SuspectRecord::Crashed),
     };
-    if news.is_none() {
+    if suspect_record.is_none() {
         event!(EventCode::SuspectUnreadable, "key={}", record.key);
     }
-    news
+    suspect_record
 }
 
-/// Follows the topic.
+/// Follows the crash reports of all instances.
 pub(crate) fn follow_suspects(store: &StoreClient, updates: &UpdateSender) {
     follow::follow_keyed(store, updates, SuspectsReader);
 }
 
-/// Appends what comes over `batches` until its sender is dropped, however
-/// often it takes. Copies change nothing.
+/// Appends the received batches until the sender is dropped. A failed append is
+/// retried; the records are idempotent.
 pub(crate) fn append_suspects(
     store: &StoreClient,
     limits: StoreLimits,
     batches: &Receiver<Vec<SuspectRecord>>,
 ) {
-    let mut kept: Vec<Vec<u8>> = Vec::new();
-    while let Ok(news) = batches.recv() {
-        kept.extend(news.iter().filter_map(encode));
-        thread::sleep(GATHER_TIME);
+    let mut pending: Vec<Vec<u8>> = Vec::new();
+    while let Ok(batch) = batches.recv() {
+        pending.extend(batch.iter().filter_map(encode));
+        thread::sleep(BATCH_DELAY);
         loop {
             while let Ok(more) = batches.try_recv() {
-                kept.extend(more.iter().filter_map(encode));
+                pending.extend(more.iter().filter_map(encode));
             }
-            let surplus = kept.len().saturating_sub(KEPT_LIMIT);
-            kept.drain(..surplus);
-            if append(store, limits, &mut kept) {
+            let surplus = pending.len().saturating_sub(PENDING_RECORDS_LIMIT);
+            pending.drain(..surplus);
+            if append(store, limits, &mut pending) {
                 break;
             }
-            thread::sleep(FAILURE_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
     }
 }
 
-/// Appends `kept` and removes what the store has; false when a call failed.
-fn append(store: &StoreClient, limits: StoreLimits, kept: &mut Vec<Vec<u8>>) -> bool {
-    for call in limits.batches(kept.clone()) {
+/// Appends the records of `pending` and removes those that the store acknowledged;
+/// returns false if a call failed.
+fn append(store: &StoreClient, limits: StoreLimits, pending: &mut Vec<Vec<u8>>) -> bool {
+    for call in limits.batches(pending.clone()) {
         if let Err(error) = store.append(TOPIC, &call) {
             event!(
                 EventCode::SuspectsNotStored,
                 "records={} cause={error}",
-                kept.len()
+                pending.len()
             );
             return false;
         }
-        kept.drain(..call.len());
+        pending.drain(..call.len());
     }
     true
 }
 
-/// The record of `news`.
-fn encode(news: &SuspectRecord) -> Option<Vec<u8>> {
-    let key = news.key().to_string();
-    let value = match news {
+/// Encodes a keyed record for the topic.
+fn encode(record: &SuspectRecord) -> Option<Vec<u8>> {
+    let key = record.key().to_string();
+    let value = match record {
         SuspectRecord::Removed(_) => Vec::new(),
-        SuspectRecord::Crashed(evidence) => match codec::encode(evidence) {
+        SuspectRecord::Crashed(report) => match codec::encode(report) {
             Ok(value) => value,
             Err(error) => {
                 event!(EventCode::SuspectsNotStored, "records=1 cause={error}");
--- a/tests/testsuite/front.rs
+++ b/tests/testsuite/front.rs
@@ -1,13 +1,14 @@
-//! The daemon on the users' platform, as a process before stand-ins.
+//! The daemon as a process, with test doubles of the platform's store and servers.
 
 mod accounts;
 mod changes;
+mod draining;
 mod ending;
 mod endless;
 mod entries;
 mod fleet;
 mod forwarding;
-mod leaving;
+
 mod lifetime;
 mod operations;
 mod soak;
@@ -23,22 +24,23 @@
 use platform_standins::StoreStandin;
 use platform_standins::front::FrontPorts;
 
-/// Tokens prepaid in these tests.
+/// Prepaid tokens of the team in these tests.
 const PREPAID: u64 = 100_000;
 
-/// Time for news to be in force.
-const NEWS_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for a change in the store to be in force.
+const UPDATE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time after which instances that started together know each other.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Time after which instances that started together have found each other.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Give-up limit of waits.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Time limit of waits.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Time between looks of a wait.
-const POLL: Duration = Duration::from_millis(25);
+/// Interval at which a wait checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A daemon before a store and one server for each service.
+/// A daemon with a store, one server for each service, and a second server that
+/// is not announced at first.
 struct Platform {
     store: StoreStandin,
     engine: BackendStandin,
@@ -47,7 +49,7 @@
     front: FrontProcess,
 }
 
-/// The configuration `version`, with the routes of `extra` besides.
+/// Returns the configuration `version` with the additional routes `extra`.
 fn config(version: u64, prepaid: u64, extra: &str) -> String {
     let route = |name: &str, prefix: &str, kind: &str, service: &str, more: &str| {
         format!(
@@ -101,15 +103,15 @@
     fn start() -> Self {
         let store = StoreStandin::start();
         let engine = BackendStandin::start(BackendBehaviour::Events { count: 5 });
-        let plain = BackendStandin::start(BackendBehaviour::Answer);
-        let second = BackendStandin::start(BackendBehaviour::Answer);
+        let plain = BackendStandin::start(BackendBehaviour::Respond);
+        let second = BackendStandin::start(BackendBehaviour::Respond);
         store.write("keyed.op", "config", config(1, PREPAID, "").as_bytes());
         write_server(&store, "i-engine", "engine", &engine, "ready");
         write_server(&store, "i-plain", "plain", &plain, "ready");
         store.write("keyed.servers", "i-broken", b"{\"service\":7}");
         let front = FrontProcess::start("front-1", FrontPorts::find(), store.address());
         front.wait_ready();
-        // A busy machine may take longer for this than a request waits.
+        // On a busy machine this may take longer than the deadline of a request.
         wait_for("tokens of the budget", || {
             count_logs(std::slice::from_ref(&front), "HS3102 tokens drawn") > 0
         });
@@ -122,29 +124,30 @@
         }
     }
 
-    /// Starts the daemon on the ports that it had, after it has ended.
-    fn start_again(&mut self) {
+    /// Starts the daemon again on the same ports, after it has exited.
+    fn restart(&mut self) {
         let ports = self.front.ports;
         self.front = FrontProcess::start("front-1", ports, self.store.address());
         self.front.wait_ready();
     }
 
-    fn add_second(&self) {
+    fn add_second_server(&self) {
         let written = Instant::now();
         write_server(&self.store, "i-second", "plain", &self.second, "ready");
         let known = "HS5101 server known server=i-second";
         wait_for(known, || {
             count_logs(std::slice::from_ref(&self.front), known) > 0
         });
-        println!("i-second was known after {:?}", written.elapsed());
+        println!("i-second was registered after {:?}", written.elapsed());
     }
 
-    /// Sends a request to `path` with the headers `more`.
+    /// Sends a request to `path` with the additional headers `more`.
     fn call(&self, path: &str, id: &str, more: &str) -> String {
         self.front.call(&request(path, id, more))
     }
 
-    /// Sends a streamed request of `prompt` tokens and up to `most` more.
+    /// Sends a streamed request with `prompt` prompt tokens and up to `most` output
+    /// tokens.
     fn stream(&self, id: &str, prompt: u64, most: u64) -> String {
         self.call(
             "/stream/x",
@@ -160,36 +163,36 @@
     )
 }
 
-/// Daemons before `store` that serve and know each other.
+/// Starts daemons at `store` and waits until they serve and have found each other.
 fn start_fronts(store: &StoreStandin, instances: usize) -> Vec<FrontProcess> {
     let mut fronts = Vec::new();
     for number in 0..instances {
         let name = format!("front-{number}");
-        let front = FrontProcess::start_first(&name, FrontPorts::find(), store.address());
+        let front = FrontProcess::start_bootstrap(&name, FrontPorts::find(), store.address());
         fronts.push(front);
     }
     for front in &fronts {
         front.wait_ready();
     }
-    thread::sleep(SETTLED);
+    thread::sleep(SETTLE_TIME);
     fronts
 }
 
-/// Instances of `fronts` whose log has lines with `text`.
+/// Returns the number of instances whose log contains `text`.
 fn count_logs(fronts: &[FrontProcess], text: &str) -> usize {
     let logs = fronts.iter().map(|front| front.log_file());
     let logs = logs.filter_map(|log| std::fs::read_to_string(log).ok());
     logs.filter(|log| log.contains(text)).count()
 }
 
-fn status(answer: &str) -> &str {
-    answer.split(' ').nth(1).unwrap_or("none")
+fn status(response: &str) -> &str {
+    response.split(' ').nth(1).unwrap_or("none")
 }
 
 fn wait_for(what: &str, mut check: impl FnMut() -> bool) {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !check() {
         assert!(Instant::now() < deadline, "gave up waiting for {what}");
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/testsuite/front/endless.rs
+++ b/tests/testsuite/front/endless.rs
@@ -1,4 +1,4 @@
-//! Servers that send bytes without end in place of an answer.
+//! Servers that send endless bytes instead of a valid response.
 
 use std::io::Read;
 use std::io::Write;
@@ -16,61 +16,61 @@
 use crate::front::request;
 use crate::front::status;
 
-/// Bytes that a server may send on one connection of what is no answer: what
-/// the system's buffers take at the most, 4 MiB to send and 6 MiB to receive.
+/// Largest number of invalid bytes that a server can send on one connection: the
+/// system's largest buffers, 4 MiB to send and 6 MiB to receive.
 const CONNECTION_LIMIT: u64 = 10 * 1024 * 1024;
-/// Bytes after which a caller reads no further.
+/// Number of bytes after which a caller stops reading.
 const READ_LIMIT: usize = 512 * 1024 * 1024;
-/// Time after which a caller reads no further; its deadline is 2.5 s.
+/// Time after which a caller stops reading; its deadline is 2.5 s.
 const READ_TIME: Duration = Duration::from_secs(10);
 
-/// What a caller got.
-struct ReadAnswer {
-    /// Its first bytes.
+/// What a caller received.
+struct ReadResponse {
+    /// First bytes of the response.
     head: String,
     bytes: usize,
-    /// Whether the instance ended it.
+    /// Whether the instance ended the connection.
     ended: bool,
-    /// Its last bytes.
+    /// Last bytes of the response.
     tail: Vec<u8>,
 }
 
-/// Sends `request` and reads the answer, of which little is kept.
-fn read_answer(address: SocketAddr, request: &str) -> ReadAnswer {
+/// Sends `request` and reads the response without keeping its body.
+fn read_response(address: SocketAddr, request: &str) -> ReadResponse {
     let mut stream = TcpStream::connect(address).expect("a connection");
     let limit = Some(READ_TIME);
     stream.set_read_timeout(limit).expect("a time-out");
     stream
         .write_all(request.as_bytes())
         .expect("bytes are sent");
-    let mut answer = ReadAnswer {
+    let mut response = ReadResponse {
         head: String::new(),
         bytes: 0,
         ended: false,
         tail: Vec::new(),
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut buffer = vec![0; 256 * 1024];
-    while answer.bytes < READ_LIMIT && begun.elapsed() < READ_TIME {
+    while response.bytes < READ_LIMIT && started.elapsed() < READ_TIME {
         let Ok(read) = stream.read(&mut buffer) else {
-            // A time-out, or a connection that was reset.
-            answer.ended = begun.elapsed() < READ_TIME;
+            // The read timed out or the connection was reset.
+            response.ended = started.elapsed() < READ_TIME;
             break;
         };
         if read == 0 {
-            answer.ended = true;
+            response.ended = true;
             break;
         }
-        if answer.head.is_empty() {
-            answer.head = String::from_utf8_lossy(&buffer[..read.min(64)]).into_owned();
+        if response.head.is_empty() {
+            response.head = String::from_utf8_lossy(&buffer[..read.min(64)]).into_owned();
         }
-        answer.bytes += read;
-        answer.tail = buffer[read.saturating_sub(8)..read].to_vec();
+        response.bytes += read;
+        response.tail = buffer[read.saturating_sub(8)..read].to_vec();
     }
-    answer
+    response
 }
 
-/// Fails when `server` sent more than the system's buffers hold.
+/// Asserts that `server` sent no more than the system's buffers hold.
 fn check_sent(server: &BackendStandin, bytes: EndlessBytes) {
     let connections = server.connections() as u64;
     let sent = server.endless_bytes();
@@ -80,11 +80,10 @@
     );
 }
 
-/// Guards against interim answers without end that load the instance until
-/// the deadline, and that sound requests of another service wait for
-/// (issue 23).
+/// Guards against endless interim responses that load the instance until the
+/// deadline and delay valid requests of another service (issue 23).
 #[test]
-fn interim_answers_without_end_are_given_up_and_hold_nobody_else_up() {
+fn endless_interim_responses_fail_and_do_not_delay_other_requests() {
     let platform = Platform::start();
     platform
         .plain
@@ -94,7 +93,7 @@
         let mut bad = Vec::new();
         for number in 0..8 {
             let request = request("/once/x", &format!("id-bad-{number}"), "");
-            bad.push(scope.spawn(move || read_answer(callers, &request)));
+            bad.push(scope.spawn(move || read_response(callers, &request)));
         }
         for number in 0..10 {
             let short = request(
@@ -103,23 +102,23 @@
                 "Token-Counts: 10,15\r\n",
             )
             .replace("Deadline-Ms: 2500", "Deadline-Ms: 1000");
-            let begun = Instant::now();
+            let started = Instant::now();
             let sound = platform.front.call(&short);
-            println!("a sound request took {:?}", begun.elapsed());
+            println!("a valid request took {:?}", started.elapsed());
             assert_eq!(status(&sound), "200", "{sound}");
             assert!(sound.ends_with("0\r\n\r\n"), "{sound}");
         }
         for bad in bad {
-            let answer = bad.join().expect("a caller ends");
-            assert_eq!(status(&answer.head), "502", "{}", answer.head);
+            let response = bad.join().expect("a caller ends");
+            assert_eq!(status(&response.head), "502", "{}", response.head);
         }
     });
     check_sent(&platform.plain, EndlessBytes::Interim);
 }
 
-/// Guards against a head or a body without end on a route that is no stream.
+/// Guards against an endless head or body on a route without streaming.
 #[test]
-fn an_answer_without_end_on_a_route_that_is_no_stream_is_given_up() {
+fn an_endless_response_on_a_route_without_streaming_fails() {
     for bytes in [
         EndlessBytes::HeaderLine,
         EndlessBytes::Headers,
@@ -132,40 +131,49 @@
             .plain
             .set_behaviour(BackendBehaviour::Endless(bytes));
         let request = request("/once/x", "id-1", "");
-        let answer = read_answer(platform.front.ports.callers, &request);
-        assert_eq!(status(&answer.head), "502", "{bytes:?}: {}", answer.head);
+        let response = read_response(platform.front.ports.callers, &request);
+        assert_eq!(
+            status(&response.head),
+            "502",
+            "{bytes:?}: {}",
+            response.head
+        );
         check_sent(&platform.plain, bytes);
     }
 }
 
-/// Guards against a stream of bytes without an event that passes to the caller
-/// without end (issue 23).
+/// Guards against an endless stream of bytes without events that is forwarded to
+/// the caller (issue 23).
 #[test]
-fn a_stream_of_bytes_without_an_event_is_broken_off() {
+fn a_stream_of_bytes_without_events_is_cut_off() {
     for bytes in [
         EndlessBytes::HeaderLine,
         EndlessBytes::Headers,
         EndlessBytes::Body,
         EndlessBytes::Chunks,
         EndlessBytes::Comments,
-        EndlessBytes::Drops,
+        EndlessBytes::SingleBytes,
     ] {
         let platform = Platform::start();
         platform
             .engine
             .set_behaviour(BackendBehaviour::Endless(bytes));
         let request = request("/stream/x", "id-1", "Token-Counts: 10,15\r\n");
-        let answer = read_answer(platform.front.ports.callers, &request);
-        assert!(answer.ended, "{bytes:?}: {} bytes and no end", answer.bytes);
-        assert!(!answer.tail.ends_with(b"0\r\n\r\n"), "{bytes:?}: whole");
+        let response = read_response(platform.front.ports.callers, &request);
+        assert!(
+            response.ended,
+            "{bytes:?}: {} bytes and no end",
+            response.bytes
+        );
+        assert!(!response.tail.ends_with(b"0\r\n\r\n"), "{bytes:?}: whole");
         check_sent(&platform.engine, bytes);
     }
 }
 
-/// Guards against a stream that always has bytes and so never meets its
-/// deadline (issue 23).
+/// Guards against a stream that always has bytes to read, so that its deadline is
+/// never checked (issue 23).
 #[test]
-fn a_stream_of_events_without_end_is_broken_off_at_its_deadline() {
+fn an_endless_stream_of_events_is_cut_off_at_its_deadline() {
     let platform = Platform::start();
     platform
         .engine
@@ -180,12 +188,12 @@
                 "Token-Counts: 10,15\r\n",
             );
             let request = request.replace("Deadline-Ms: 2500", "Deadline-Ms: 1000");
-            streams.push(scope.spawn(move || read_answer(callers, &request)));
+            streams.push(scope.spawn(move || read_response(callers, &request)));
         }
         for stream in streams {
-            let answer = stream.join().expect("a caller ends");
-            assert!(answer.ended, "{} bytes and no end", answer.bytes);
-            assert!(!answer.tail.ends_with(b"0\r\n\r\n"), "whole");
+            let response = stream.join().expect("a caller ends");
+            assert!(response.ended, "{} bytes and no end", response.bytes);
+            assert!(!response.tail.ends_with(b"0\r\n\r\n"), "whole");
         }
     });
 }
--- a/tests/testsuite/front/soak.rs
+++ b/tests/testsuite/front/soak.rs
@@ -1,8 +1,8 @@
-//! Random faults on real processes: what must hold at all times is checked
-//! from what callers and servers see.
+//! Random faults on real processes; invariants are checked on what callers and
+//! servers see.
 //!
-//! Two seeds run in the test; more by hand, `FIRST..END` in the variable
-//! `HIBISCUS_SOAK_SEEDS`.
+//! The test runs two seeds. For manual runs, the environment variable
+//! `HIBISCUS_SOAK_SEEDS` takes other seeds as `FIRST..END`.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -24,42 +24,42 @@
 
 use crate::front::PREPAID;
 use crate::front::config;
-use crate::front::ending::EndingFleet;
-use crate::front::ending::FATAL;
+use crate::front::ending::CRASH_BODY;
+use crate::front::ending::CrashFleet;
 use crate::front::status;
 
-/// Seeds of the test; one that ever failed is added, with a line on the cause.
+/// Seeds of the test. A seed that fails is added with a line on the cause.
 const SEEDS: Range<u64> = 1..3;
-/// Variable with other seeds.
+/// Environment variable with other seeds.
 const SEEDS_VARIABLE: &str = "HIBISCUS_SOAK_SEEDS";
-/// Instances.
+/// Number of instances.
 const INSTANCES: usize = 4;
-/// Time with faults.
+/// Duration of the phase with faults.
 const FAULT_TIME: Duration = Duration::from_secs(14);
-/// Time without faults before the last checks.
+/// Time without faults before each of the last checks.
 const CALM_TIME: Duration = Duration::from_secs(5);
-/// Callers that send a request of their own each time.
+/// Number of callers that send only requests with unique ids.
 const CALLERS: usize = 4;
-/// Time for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+/// Timeout of connecting and of each read.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A caller's connection, used until its instance ends it.
+/// A caller's connection, which is reused until the instance closes it.
 struct CallerLink {
     stream: Option<TcpStream>,
     front: SocketAddr,
 }
 
-/// What a caller got for one request.
-struct CallerAnswer {
+/// The response to one request of a caller.
+struct CallerResponse {
     id: String,
     path: &'static str,
-    /// Head and body as far as they came.
+    /// Head and body as far as they were received.
     text: String,
 }
 
 impl CallerLink {
-    /// Sends a request and reads its answer.
-    fn call(&mut self, path: &'static str, id: &str, body: &str) -> CallerAnswer {
+    /// Sends a request and reads the response.
+    fn call(&mut self, path: &'static str, id: &str, body: &str) -> CallerResponse {
         let request = format!(
             "POST {path} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 2000\r\nAuthorization: Bearer key-a\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -69,7 +69,7 @@
         if !is_whole(&text) || text.to_lowercase().contains("connection: close") {
             self.stream = None;
         }
-        CallerAnswer {
+        CallerResponse {
             id: id.to_owned(),
             path,
             text,
@@ -78,25 +78,25 @@
 
     fn exchange(&mut self, request: &str) -> Option<String> {
         if self.stream.is_none() {
-            let stream = TcpStream::connect_timeout(&self.front, ANSWER_LIMIT).ok()?;
-            stream.set_read_timeout(Some(ANSWER_LIMIT)).ok()?;
+            let stream = TcpStream::connect_timeout(&self.front, RESPONSE_TIMEOUT).ok()?;
+            stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
             self.stream = Some(stream);
         }
         let stream = self.stream.as_mut()?;
         stream.write_all(request.as_bytes()).ok()?;
-        let mut answer = Vec::new();
+        let mut response = Vec::new();
         let mut buffer = [0; 4_096];
-        while !is_whole(&String::from_utf8_lossy(&answer)) {
+        while !is_whole(&String::from_utf8_lossy(&response)) {
             match stream.read(&mut buffer) {
-                Ok(count) if count > 0 => answer.extend_from_slice(&buffer[..count]),
+                Ok(count) if count > 0 => response.extend_from_slice(&buffer[..count]),
                 _ended => break,
             }
         }
-        Some(String::from_utf8_lossy(&answer).into_owned())
+        Some(String::from_utf8_lossy(&response).into_owned())
     }
 }
 
-/// Whether `text` holds a head and a body as long as the head says.
+/// Returns whether `text` has a complete head and a body of the stated length.
 fn is_whole(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
@@ -107,34 +107,34 @@
     length.is_some_and(|length: usize| body.len() >= length)
 }
 
-/// Sends requests of its own until `stop`.
-fn own_requests(
+/// Sends requests with unique ids until `stop` is set.
+fn unique_requests(
     fronts: &[SocketAddr],
     number: usize,
     seed: u64,
     stop: &AtomicBool,
-) -> Vec<CallerAnswer> {
+) -> Vec<CallerResponse> {
     let mut rng = Rng::with_seed(seed.wrapping_mul(31) + number as u64);
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     let mut link = CallerLink {
         stream: None,
         front: fronts[number % fronts.len()],
     };
     while !stop.load(Ordering::Relaxed) {
         let path = if rng.bool() { "/once/x" } else { "/often/x" };
-        let id = format!("id-{number}-{}", answers.len());
-        let answer = link.call(path, &id, &format!("body of {id}"));
+        let id = format!("id-{number}-{}", responses.len());
+        let response = link.call(path, &id, &format!("body of {id}"));
         if link.stream.is_none() {
             link.front = fronts[rng.usize(..fronts.len())];
         }
-        answers.push(answer);
+        responses.push(response);
         thread::sleep(Duration::from_millis(rng.u64(1..30)));
     }
-    answers
+    responses
 }
 
-/// Sends the fatal request again and again until `stop`.
-fn fatal_requests(fronts: &[SocketAddr], seed: u64, stop: &AtomicBool) {
+/// Sends the crashing request repeatedly until `stop` is set.
+fn crashing_requests(fronts: &[SocketAddr], seed: u64, stop: &AtomicBool) {
     let mut rng = Rng::with_seed(seed.wrapping_mul(37));
     while !stop.load(Ordering::Relaxed) {
         let mut link = CallerLink {
@@ -142,16 +142,16 @@
             front: fronts[rng.usize(..fronts.len())],
         };
         let path = "/often/x";
-        let _answer = link.call(path, &format!("fatal-{:x}", rng.u64(..)), FATAL);
+        let _answer = link.call(path, &format!("fatal-{:x}", rng.u64(..)), CRASH_BODY);
         thread::sleep(Duration::from_millis(rng.u64(200..900)));
     }
 }
 
-/// One fault, often while a server or the store is in trouble.
-fn make_fault(fleet: &mut EndingFleet, rng: &mut Rng, version: u64) {
-    let beside = rng.usize(..fleet.servers.len());
+/// Injects a fault, often together with a minor fault of a server or the store.
+fn inject_fault(fleet: &mut CrashFleet, rng: &mut Rng, version: u64) {
+    let minor = rng.usize(..fleet.servers.len());
     match rng.u8(..4) {
-        0 => fleet.servers[beside].set_behaviour(BackendBehaviour::Reset),
+        0 => fleet.servers[minor].set_behaviour(BackendBehaviour::Reset),
         1 => fleet.store.set_faults(StoreFaults {
             delay: Duration::from_millis(rng.u64(10..300)),
             ..StoreFaults::default()
@@ -162,26 +162,26 @@
         }
         _ => {}
     }
-    make_main_fault(fleet, rng);
-    fleet.servers[beside].set_behaviour(BackendBehaviour::Answer);
+    inject_main_fault(fleet, rng);
+    fleet.servers[minor].set_behaviour(BackendBehaviour::Respond);
     fleet.store.set_faults(StoreFaults::default());
 }
 
-/// One fault, some of which last.
-fn make_main_fault(fleet: &mut EndingFleet, rng: &mut Rng) {
+/// Injects one main fault; a killed or shut down instance is started again.
+fn inject_main_fault(fleet: &mut CrashFleet, rng: &mut Rng) {
     let front = rng.usize(..fleet.fronts.len());
     let server = rng.usize(..fleet.servers.len());
     let pause = Duration::from_millis(rng.u64(100..1_200));
-    let set = |fleet: &EndingFleet, behaviour| {
+    let set = |fleet: &CrashFleet, behaviour| {
         fleet.servers[server].set_behaviour(behaviour);
         thread::sleep(pause);
-        fleet.servers[server].set_behaviour(BackendBehaviour::Answer);
+        fleet.servers[server].set_behaviour(BackendBehaviour::Respond);
     };
     match rng.u8(..10) {
         0 => {
             fleet.fronts[front].kill();
             thread::sleep(pause);
-            fleet.start_again(front);
+            fleet.restart(front);
         }
         1 => {
             fleet.fronts[front].signal(Signal::SIGSTOP);
@@ -190,18 +190,18 @@
         }
         2 => {
             fleet.fronts[front].signal(Signal::SIGTERM);
-            let ended = fleet.fronts[front].wait(Duration::from_secs(12));
-            assert!(ended.is_some(), "a planned stop does not end");
-            fleet.start_again(front);
+            let status = fleet.fronts[front].wait(Duration::from_secs(12));
+            assert!(status.is_some(), "a graceful shutdown does not end");
+            fleet.restart(front);
         }
         3 => {
             for server in &fleet.servers[..rng.usize(1..5)] {
-                server.end();
+                server.crash();
             }
         }
         4 => set(fleet, BackendBehaviour::Reset),
-        5 => set(fleet, BackendBehaviour::Extra),
-        6 => set(fleet, BackendBehaviour::Crossed),
+        5 => set(fleet, BackendBehaviour::ExtraResponse),
+        6 => set(fleet, BackendBehaviour::WrongRequestId),
         7 => set(fleet, BackendBehaviour::Endless(EndlessBytes::Interim)),
         8 => {
             fleet.store.set_faults(StoreFaults {
@@ -222,19 +222,19 @@
     }
 }
 
-/// Checks what each caller got against what the servers saw.
-fn check_answers(fleet: &EndingFleet, answers: &[CallerAnswer], seed: u64) {
+/// Checks the responses of callers against the requests that servers received.
+fn check_responses(fleet: &CrashFleet, responses: &[CallerResponse], seed: u64) {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for request in fleet.servers.iter().flat_map(|server| server.requests()) {
         let id = request.header("request-id").unwrap_or_default().to_owned();
         *runs.entry(id).or_default() += 1;
     }
     let mut served = 0;
-    for answer in answers {
-        let id = &answer.id;
+    for response in responses {
+        let id = &response.id;
         let run = runs.get(id).copied().unwrap_or_default();
-        let status = status(&answer.text);
-        if answer.path == "/once/x" {
+        let status = status(&response.text);
+        if response.path == "/once/x" {
             assert!(run <= 1, "seed {seed}: {id} ran {run} times");
             if status == "503" {
                 assert_eq!(run, 0, "seed {seed}: {id} ran and was refused as not run");
@@ -244,65 +244,65 @@
             continue;
         }
         served += 1;
-        let text = answer.text.to_lowercase();
+        let text = response.text.to_lowercase();
         assert!(
             text.contains(&format!("response-seal: seal-{id}\r\n")) && text.ends_with("done"),
             "seed {seed}: {id} got {}",
-            answer.text
+            response.text
         );
     }
-    println!("seed {seed}: {} requests, {served} served", answers.len());
+    println!("seed {seed}: {} requests, {served} served", responses.len());
     assert!(served > 0, "seed {seed}: nothing was served");
 }
 
-/// Faults in a row, then a calm time in which all must be well.
+/// Runs one seed: a phase of faults, then checks in a phase without faults.
 fn run(seed: u64) {
     let mut rng = Rng::with_seed(seed);
-    let mut fleet = EndingFleet::start(INSTANCES);
+    let mut fleet = CrashFleet::start(INSTANCES);
     let fronts: Vec<_> = fleet
         .fronts
         .iter()
         .map(|front| front.ports.callers)
         .collect();
     let stop = AtomicBool::new(false);
-    let answers = thread::scope(|scope| {
+    let responses = thread::scope(|scope| {
         let (fronts, stop) = (&fronts[..], &stop);
         let callers: Vec<_> = (0..CALLERS)
-            .map(|number| scope.spawn(move || own_requests(fronts, number, seed, stop)))
+            .map(|number| scope.spawn(move || unique_requests(fronts, number, seed, stop)))
             .collect();
-        scope.spawn(move || fatal_requests(fronts, seed, stop));
-        let begun = Instant::now();
+        scope.spawn(move || crashing_requests(fronts, seed, stop));
+        let started = Instant::now();
         let mut version = 1;
-        while begun.elapsed() < FAULT_TIME {
+        while started.elapsed() < FAULT_TIME {
             version += 1;
-            make_fault(&mut fleet, &mut rng, version);
+            inject_fault(&mut fleet, &mut rng, version);
             thread::sleep(Duration::from_millis(rng.u64(50..500)));
         }
         stop.store(true, Ordering::Relaxed);
         let joined = callers.into_iter().map(|caller| caller.join());
         joined
-            .flat_map(|answers| answers.expect("a caller ends"))
+            .flat_map(|responses| responses.expect("a caller ends"))
             .collect::<Vec<_>>()
     });
-    check_answers(&fleet, &answers, seed);
+    check_responses(&fleet, &responses, seed);
     for front in &fleet.fronts {
         front.wait_ready();
     }
     thread::sleep(CALM_TIME);
-    let ended = fleet.ends().len();
+    let crashes = fleet.crash_times().len();
     let before: usize = fleet
         .servers
         .iter()
-        .map(|server| server.fatal_arrivals().len())
+        .map(|server| server.trigger_arrivals().len())
         .sum();
     let statuses = fleet.repeat("/often/x", 10);
     let after: usize = fleet
         .servers
         .iter()
-        .map(|server| server.fatal_arrivals().len())
+        .map(|server| server.trigger_arrivals().len())
         .sum();
     println!(
-        "seed {seed}: {ended} ends, {before} fatal requests at servers, then {}: {statuses:?}",
+        "seed {seed}: {crashes} crashes, {before} crashing requests at servers, then {}: {statuses:?}",
         after - before
     );
     assert!(
@@ -319,9 +319,10 @@
     }
 }
 
-/// Guards what must hold at all times over faults in series.
+/// Checks that a request that may run once runs at most once, that no caller gets a
+/// response of another, and that the fleet serves again after a series of faults.
 #[test]
-fn callers_and_servers_see_what_is_promised_over_random_faults() {
+fn the_invariants_of_callers_and_servers_hold_over_random_faults() {
     let seeds = std::env::var(SEEDS_VARIABLE).ok().and_then(|text| {
         let (first, end) = text.split_once("..")?;
         Some(first.parse().ok()?..end.parse().ok()?)
