--- a/crates/hibiscus-config/src/check.rs
+++ b/crates/hibiscus-config/src/check.rs
@@ -1,10 +1,10 @@
-//! Checks of changed entries in the light of all others.
+//! Checks changed entries against each other and against unchanged entries.
 //!
-//! The same checks run over an operators' file, where every line is a new
-//! entry, and inside the fold, where they are part of the verdict: a
-//! publication that was checked against an older state cannot leave a team
-//! without its brand. A check that changes between releases changes verdicts,
-//! so it needs a newer record format.
+//! The same checks run on an operators' file, where every line counts as a new
+//! entry, and inside the fold, where they are part of the verdict. A
+//! publication that was checked against an older state therefore cannot leave
+//! a team without its brand. A change of these checks changes verdicts, so it
+//! needs a new record format.
 
 use std::collections::BTreeMap;
 
@@ -21,43 +21,44 @@
 use crate::entry::ServiceKind;
 use crate::index::EntryIndex;
 
-/// Most tokens that a budget may be topped up with in all: 30 million tokens
+/// Most tokens that all top-ups of a budget may add up to: 30 million tokens
 /// a second for a year.
 pub const BUDGET_LIMIT: TokenCount = TokenCount::new(1_000_000_000_000_000);
-/// Longest name, in bytes.
+/// Most bytes of a name.
 pub const NAME_LIMIT: usize = 200;
-/// Start of the paths that the callers' port keeps for itself.
+/// Prefix of the paths that the router serves itself on its port for callers.
 const RESERVED_PATHS: &str = "/v1/";
 
-/// What is wrong with one entry.
+/// A fault of an entry. It is part of the verdict, so the texts must be the
+/// same in all instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryFault {
-    /// The entry.
+    /// Key of the entry.
     pub key: EntryKey,
-    /// The field at fault, empty for the whole entry.
+    /// Name of the faulty field, empty for the whole entry.
     pub field: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
-    /// What can be done.
+    /// How to correct the fault.
     pub hint: String,
 }
 
-/// The entries that a check stands on, before the changes.
+/// The entries before the changes, against which the changes are checked.
 pub trait EntrySource {
-    /// The entry of `key`.
+    /// Returns the entry of `key`.
     fn entry(&self, key: &EntryKey) -> Option<&ConfigEntry>;
 
-    /// The team that a budget belonged to before it was removed.
+    /// Returns the former team of a removed budget.
     fn former_team(&self, budget: &BudgetName) -> Option<&TeamName>;
 
-    /// References, claims and credits.
+    /// Returns the index of the entries.
     fn index(&self) -> &EntryIndex;
 }
 
-/// Changed entries by key, `None` for removed ones.
+/// Changed entries by key, `None` for removed entries.
 pub type ChangeSet<'a> = BTreeMap<&'a EntryKey, Option<&'a ConfigEntry>>;
 
-/// All faults of `changes` over `source`, in order of key.
+/// Returns all faults of `changes` applied to `source`, in order of key.
 pub fn check<S: EntrySource>(source: &S, changes: &ChangeSet<'_>) -> Vec<EntryFault> {
     let mut check = ChangeCheck {
         source,
@@ -76,7 +77,7 @@
     check.faults
 }
 
-/// State of one check.
+/// State of a check of one change set.
 struct ChangeCheck<'a, S> {
     source: &'a S,
     changes: &'a ChangeSet<'a>,
@@ -93,8 +94,8 @@
         });
     }
 
-    /// The entry of `key` once the changes are in force.
-    fn after(&self, key: &EntryKey) -> Option<&ConfigEntry> {
+    /// Returns the entry of `key` as it is after the changes.
+    fn entry_after(&self, key: &EntryKey) -> Option<&ConfigEntry> {
         match self.changes.get(key) {
             Some(changed) => *changed,
             None => self.source.entry(key),
@@ -132,7 +133,7 @@
             return;
         };
         let known = self.source.entry(key) == Some(entry) && key.section.is_permanent();
-        match self.after(&target) {
+        match self.entry_after(&target) {
             _ if known => {}
             None => {
                 let message = format!("{target} does not exist");
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A top-up or release that exists cannot change.
+    /// Checks that an existing top-up or release does not change.
     fn check_permanence(&mut self, key: &EntryKey, entry: &ConfigEntry) {
         let Some(held) = self.source.entry(key) else {
             return;
@@ -160,7 +161,8 @@
         self.fault(key, "", message, "give the new one an id of its own");
     }
 
-    /// A budget never moves to another team, or charges would go astray.
+    /// Checks that a budget does not move to another team, which would then be
+    /// charged for the spending of the first one.
     fn check_team(&mut self, key: &EntryKey, name: &BudgetName, team: &TeamName) {
         let held = match self.source.entry(key) {
             Some(ConfigEntry::Budget(held)) => Some(&held.team),
@@ -194,13 +196,17 @@
         }
     }
 
-    /// Unchanged routes to a service that stops being plain.
+    /// Number of unchanged routes to a service that is no longer plain.
     fn routes_to(&self, key: &EntryKey) -> usize {
         let was_plain = matches!(
             self.source.entry(key),
             Some(ConfigEntry::Service(held)) if held.kind == ServiceKind::Plain
         );
-        if was_plain { self.remaining(key) } else { 0 }
+        if was_plain {
+            self.unchanged_references(key)
+        } else {
+            0
+        }
     }
 
     fn check_removal(&mut self, key: &EntryKey) {
@@ -209,15 +215,15 @@
             self.fault(key, "", message, "what was paid is not taken back");
             return;
         }
-        let remaining = self.remaining(key);
-        if remaining > 0 {
-            let message = format!("{key} is still named by {remaining} other entries");
+        let unchanged_references = self.unchanged_references(key);
+        if unchanged_references > 0 {
+            let message = format!("{key} is still named by {unchanged_references} other entries");
             self.fault(key, "", message, "remove or change those too");
         }
     }
 
-    /// Unchanged entries that name `key`.
-    fn remaining(&self, key: &EntryKey) -> usize {
+    /// Number of unchanged entries that refer to `key`.
+    fn unchanged_references(&self, key: &EntryKey) -> usize {
         let mut count = self.source.index().references(key);
         for changed in self.changes.keys() {
             let before = self.source.entry(changed);
@@ -227,7 +233,7 @@
         count
     }
 
-    /// Every claim has one holder.
+    /// Checks that no two entries hold the same unique value.
     fn check_claims(&mut self) {
         let mut taken: BTreeMap<EntryClaim, &EntryKey> = BTreeMap::new();
         for (key, entry) in self.changes {
@@ -249,13 +255,13 @@
         }
     }
 
-    /// The holder of `claim` among the entries that do not change.
+    /// Returns the unchanged entry that holds `claim`.
     fn unchanged_holder(&self, claim: &EntryClaim) -> Option<&EntryKey> {
         let holder = self.source.index().holder(claim)?;
         (!self.changes.contains_key(holder)).then_some(holder)
     }
 
-    /// No budget is topped up beyond the limit.
+    /// Checks that no budget is topped up beyond [`BUDGET_LIMIT`].
     fn check_credits(&mut self) {
         let mut added: BTreeMap<&BudgetName, TokenCount> = BTreeMap::new();
         for (key, entry) in self.changes {
@@ -280,7 +286,7 @@
     }
 }
 
-/// No entries: what a file is checked against.
+/// A source without entries, against which a file is checked.
 #[derive(Clone, Debug, Default)]
 pub struct EmptySource {
     index: EntryIndex,
--- a/crates/hibiscus-config/src/entry.rs
+++ b/crates/hibiscus-config/src/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the configuration.
+//! Entries of the configuration and the keys that identify them.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A brand that teams belong to.
+/// A brand, to which teams belong.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BrandEntry {
@@ -18,13 +18,13 @@
     pub name: String,
 }
 
-/// A team and the keys that identify it.
+/// A team and the API keys that identify it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamEntry {
     /// Unique name.
     pub name: TeamName,
-    /// The brand that it belongs to.
+    /// Name of the brand of the team.
     pub brand: String,
     /// SHA-256 of each API key, in hexadecimal.
     pub api_key_sha256: Vec<String>,
@@ -36,52 +36,52 @@
 pub struct BudgetEntry {
     /// Unique name.
     pub name: BudgetName,
-    /// The team that spends it.
+    /// Team that spends the budget.
     pub team: TeamName,
 }
 
-/// Tokens paid for.
+/// A payment that adds tokens to a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TopUpEntry {
-    /// Unique name; a top-up counts once.
+    /// Unique id, by which a top-up is counted only once.
     pub id: String,
-    /// The budget that grows.
+    /// Budget to which the tokens are added.
     pub budget: BudgetName,
-    /// Tokens added.
+    /// Number of tokens added.
     pub tokens: TokenCount,
 }
 
-/// An operator's word that a held grant's holder has stopped.
+/// Confirmation by an operator that the holder of a held grant has stopped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReleaseEntry {
-    /// The grant to free.
+    /// Grant to release.
     pub grant: GrantId,
 }
 
-/// What a service's servers speak.
+/// Kind of calls that the servers of a service handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Chat completions of a model engine.
+    /// Chat completions, handled by a model engine.
     Model,
-    /// Plain calls.
+    /// Plain HTTP calls.
     Plain,
 }
 
-/// A service of backend servers.
+/// A service provided by a group of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEntry {
     /// Unique name.
     pub name: ServiceName,
-    /// What its servers speak.
+    /// Kind of calls that the servers handle.
     pub kind: ServiceKind,
-    /// Models that its servers answer for.
+    /// Models that the servers serve.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Whether its servers refuse an old fencing number.
+    /// Whether the servers reject calls with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
@@ -90,17 +90,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteEntry {
-    /// The path that callers use, such as `/tailorbook/alterations`.
+    /// Path of the call, such as `/tailorbook/alterations`.
     pub path: String,
-    /// The service that answers.
+    /// Service that handles the call.
     pub service: ServiceName,
-    /// Whether a call may run again.
+    /// Whether the call may be executed more than once.
     pub idempotent: bool,
-    /// Tokens charged for a call.
+    /// Tokens charged per call.
     pub cost: TokenCount,
 }
 
-/// One entry.
+/// An entry of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigEntry {
@@ -141,7 +141,7 @@
 }
 
 impl ConfigSection {
-    /// All sections in the order of the file.
+    /// All sections, in the order of the file.
     pub const ALL: [Self; 7] = [
         Self::Brands,
         Self::Teams,
@@ -152,7 +152,7 @@
         Self::Routes,
     ];
 
-    /// The name in the file.
+    /// Name of the section in the file.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Brands => "brands",
@@ -165,15 +165,15 @@
         }
     }
 
-    /// The section named `name` in the file.
+    /// Returns the section with this name in the file.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL
             .into_iter()
             .find(|section| section.as_str() == name)
     }
 
-    /// Whether entries of the section stay for good once accepted: what was
-    /// paid is not taken back, and a release cannot be undone.
+    /// Whether accepted entries of the section can never change or be removed:
+    /// a payment is not taken back, and a release cannot be undone.
     pub const fn is_permanent(self) -> bool {
         matches!(self, Self::TopUps | Self::Releases)
     }
@@ -185,17 +185,17 @@
     }
 }
 
-/// What identifies an entry over its versions.
+/// Key that identifies an entry across its versions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EntryKey {
-    /// The section of the file.
+    /// Section of the file.
     pub section: ConfigSection,
-    /// The name within the section.
+    /// Name within the section.
     pub name: String,
 }
 
 impl EntryKey {
-    /// The key of `name` in `section`.
+    /// Creates the key of the entry `name` in `section`.
     pub fn new(section: ConfigSection, name: impl Into<String>) -> Self {
         Self {
             section,
@@ -211,7 +211,7 @@
 }
 
 impl ConfigEntry {
-    /// What identifies the entry.
+    /// Returns the key of the entry.
     pub fn key(&self) -> EntryKey {
         match self {
             Self::Brand(brand) => EntryKey::new(ConfigSection::Brands, &brand.name),
@@ -226,8 +226,8 @@
         }
     }
 
-    /// The entry that this one names and cannot do without, and the field
-    /// that names it.
+    /// Returns the field that refers to another entry and the key of that
+    /// entry, which must exist.
     pub fn reference(&self) -> Option<(&'static str, EntryKey)> {
         match self {
             Self::Team(team) => Some(("brand", EntryKey::new(ConfigSection::Brands, &team.brand))),
@@ -247,7 +247,7 @@
         }
     }
 
-    /// What no other entry may hold too: API key hashes and models.
+    /// Returns the values that no other entry may hold: API key hashes and models.
     pub fn claims(&self) -> Vec<EntryClaim> {
         match self {
             Self::Team(team) => team
@@ -265,7 +265,7 @@
     }
 }
 
-/// Something that at most one entry may hold.
+/// A value that at most one entry may hold.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EntryClaim {
@@ -276,7 +276,7 @@
 }
 
 impl EntryClaim {
-    /// The field that makes the claim.
+    /// Name of the field that holds the value.
     pub const fn field(&self) -> &'static str {
         match self {
             Self::ApiKey(_) => "api_key_sha256",
@@ -284,7 +284,7 @@
         }
     }
 
-    /// The value claimed.
+    /// The value itself.
     pub fn value(&self) -> &str {
         match self {
             Self::ApiKey(value) | Self::Model(value) => value,
--- a/crates/hibiscus-config/src/field.rs
+++ b/crates/hibiscus-config/src/field.rs
@@ -1,4 +1,4 @@
-//! Reads the value of one field and builds the entry of one line.
+//! Reads the values of fields and builds the entry of a line.
 
 use jsonc_parser::ast::Array;
 use jsonc_parser::ast::Value;
@@ -10,23 +10,23 @@
 use crate::entry::ConfigSection;
 use crate::schema::FieldKind;
 
-/// Characters of a SHA-256 hash in hexadecimal.
-const HASH_LENGTH: usize = 64;
+/// Number of hexadecimal digits of a SHA-256 hash.
+const HASH_HEX_DIGITS: usize = 64;
 
-/// Why a value cannot be used.
+/// An invalid value of a field.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub(crate) struct FieldFault {
-    /// Byte offset of the fault.
+    /// Byte offset of the value in the file.
     pub(crate) at: usize,
-    /// What is wrong.
+    /// Description of the fault.
     pub(crate) message: String,
 }
 
 /// Result of reading a value.
 pub(crate) type Result<T> = std::result::Result<T, FieldFault>;
 
-/// The value as JSON, if it is what `kind` allows.
+/// Converts a value to JSON, or fails if `kind` does not allow it.
 pub(crate) fn value_of(kind: FieldKind, value: &Value<'_>) -> Result<serde_json::Value> {
     match (kind, value) {
         (FieldKind::Texts | FieldKind::Hashes, Value::Array(list)) => list_of(kind, list),
@@ -39,13 +39,13 @@
             }
         }
         (FieldKind::Flag | FieldKind::Tokens | FieldKind::Texts | FieldKind::Hashes, _) => {
-            fault(value, format!("{} is not allowed", name_of(value)))
+            fault(value, format!("{} is not allowed", type_name(value)))
         }
         (kind, Value::StringLit(text)) => match text_fault(kind, &text.value) {
             None => Ok(text.value.as_ref().into()),
             Some(message) => fault(value, message),
         },
-        _ => fault(value, format!("{} is not allowed", name_of(value))),
+        _ => fault(value, format!("{} is not allowed", type_name(value))),
     }
 }
 
@@ -53,7 +53,7 @@
     let mut values = Vec::with_capacity(list.elements.len());
     for element in &list.elements {
         let Value::StringLit(text) = element else {
-            return fault(element, format!("{} is not allowed", name_of(element)));
+            return fault(element, format!("{} is not allowed", type_name(element)));
         };
         if let Some(message) = text_fault(kind, &text.value) {
             return fault(element, message);
@@ -63,7 +63,7 @@
     Ok(values.into())
 }
 
-/// What is wrong with `text` as `kind`.
+/// Returns an error message if `kind` does not allow `text`.
 fn text_fault(kind: FieldKind, text: &str) -> Option<String> {
     let plain = !text.trim().is_empty() && text.trim() == text && !text.contains(char::is_control);
     let good = match kind {
@@ -71,7 +71,7 @@
             plain && text.starts_with('/') && !text.contains(['?', '#', ' ']) && text.len() > 1
         }
         FieldKind::Hashes => is_hash(text),
-        FieldKind::Uuid => uuid_like(text),
+        FieldKind::Uuid => is_uuid(text),
         FieldKind::ServiceKind => matches!(text, "model" | "plain"),
         _ => plain,
     };
@@ -82,10 +82,10 @@
     let digits = text
         .bytes()
         .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
-    digits && text.len() == HASH_LENGTH
+    digits && text.len() == HASH_HEX_DIGITS
 }
 
-fn uuid_like(text: &str) -> bool {
+fn is_uuid(text: &str) -> bool {
     serde_json::from_value::<hibiscus_types::GrantId>(text.into()).is_ok()
 }
 
@@ -96,8 +96,8 @@
     })
 }
 
-/// What `value` is, for messages.
-fn name_of(value: &Value<'_>) -> &'static str {
+/// Names the type of `value` for error messages.
+fn type_name(value: &Value<'_>) -> &'static str {
     match value {
         Value::StringLit(_) => "a text",
         Value::NumberLit(_) => "a number",
@@ -108,7 +108,7 @@
     }
 }
 
-/// The entry of a line in `section`.
+/// Builds an entry of `section` from the fields of its line.
 pub(crate) fn entry_of(
     section: ConfigSection,
     object: Map<String, serde_json::Value>,
--- a/crates/hibiscus-config/src/file.rs
+++ b/crates/hibiscus-config/src/file.rs
@@ -1,4 +1,5 @@
-//! The operators' file: JSON with comments, one entry a line.
+//! The operators' file, which is JSON with comments and has one entry per
+//! line, and the changes that a publication of the file would make.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,16 +13,16 @@
 use crate::reader::FileReader;
 use crate::record::EntryChange;
 
-/// One fault of a file.
+/// A fault of a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FileFault {
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Description of the fault.
     pub message: String,
-    /// What can be done.
+    /// How to correct the fault.
     pub hint: String,
 }
 
@@ -43,66 +44,69 @@
 /// Result of reading a file.
 pub type Result<T> = std::result::Result<T, FileError>;
 
-/// One entry of a file.
+/// An entry of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileEntry {
-    /// The entry.
+    /// Content of the entry.
     pub entry: ConfigEntry,
-    /// Who asked for it.
+    /// Name of the person who requested the entry.
     pub asked_by: String,
-    /// Its line, from 1.
+    /// Line number of the entry, from 1.
     pub line: usize,
 }
 
-/// A checked file.
+/// An operators' file that passed all checks.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorFile {
-    /// The version in force that the file was edited from, 0 when it names
-    /// none: what came into force later, its author has not seen.
+    /// Version of the configuration on which the file is based, 0 if the file
+    /// names none. Its author has not seen any later publication.
     pub version: u64,
-    /// The entries by key.
+    /// Entries by key.
     pub entries: BTreeMap<EntryKey, FileEntry>,
 }
 
-/// What publishing a file would do.
+/// The effects that a publication of a file would have.
 #[derive(Clone, Debug, Default)]
 pub struct FilePlan {
-    /// The changes, in order of key.
+    /// Changes to publish: new and changed entries in order of key, then
+    /// removals in order of key.
     pub changes: Vec<EntryChange>,
-    /// Lines that differ from a version that the file's author has not seen.
+    /// Lines that differ from an entry that was set after the version of the
+    /// file, so the author has not seen it.
     pub conflicts: Vec<EntryConflict>,
-    /// Entries that others added and the file's author has not seen; they
-    /// stay.
+    /// Entries without a line that were set after the version of the file. They
+    /// are kept, because the author has not seen them.
     pub unseen: Vec<(EntryKey, EntryState)>,
-    /// Top-ups and releases without a line; they stay.
+    /// Top-ups and releases without a line. They are kept, because they cannot
+    /// be removed.
     pub permanent: Vec<EntryKey>,
 }
 
 impl OperatorFile {
-    /// Reads and checks `text`; all faults are reported at once, in order of
-    /// line.
+    /// Parses and checks `text`. The error holds all faults, in order of line.
     pub fn parse(text: &str) -> Result<Self> {
         FileReader::new(text).read()
     }
 
-    /// `text` with `version` as the version that it was edited from. Only
-    /// the line of the version changes, or is added.
+    /// Returns `text` with its version set to `version`, `None` if it is not an
+    /// object. Only the line of the version is changed or added.
     pub fn stamp(text: &str, version: u64) -> Option<String> {
         reader::stamp(text, version)
     }
 
-    /// The changes that bring `fold` to this file, as if its author had seen
-    /// all that is in force.
+    /// Returns the changes from `fold` to this file, as if the file were based
+    /// on the version in force.
     pub fn changes(&self, fold: &ConfigFold) -> Vec<EntryChange> {
         self.plan_from(fold, fold.version()).changes
     }
 
-    /// What publishing the file over `fold` would do.
+    /// Plans the publication of the file on `fold`.
     pub fn plan(&self, fold: &ConfigFold) -> FilePlan {
         self.plan_from(fold, self.version)
     }
 
-    /// The plan of an author who has seen all before `seen`.
+    /// Plans the publication for an author who has seen all publications before
+    /// the offset `seen`.
     fn plan_from(&self, fold: &ConfigFold, seen: u64) -> FilePlan {
         let mut plan = FilePlan::default();
         for (key, wanted) in &self.entries {
@@ -129,21 +133,22 @@
             if self.entries.contains_key(key) {
                 continue;
             }
-            plan.leave_out(key, state, seen);
+            plan.plan_missing_entry(key, state, seen);
         }
         plan
     }
 }
 
 impl FilePlan {
-    /// The entries that would be removed.
+    /// Returns the keys of the entries that would be removed.
     pub fn removals(&self) -> Vec<EntryKey> {
         let removals = self.changes.iter().filter(|change| change.entry.is_none());
         removals.map(|change| change.key.clone()).collect()
     }
 
-    /// Names who asked for the removals, since no line is left to say so.
-    pub fn name_removals(&mut self, asked_by: &str) {
+    /// Sets who requested the removals, because removed entries have no line
+    /// whose comment would name the person.
+    pub fn attribute_removals(&mut self, asked_by: &str) {
         for change in &mut self.changes {
             if change.entry.is_none() {
                 asked_by.clone_into(&mut change.asked_by);
@@ -151,8 +156,8 @@
         }
     }
 
-    /// Plans for an entry in force that has no line.
-    fn leave_out(&mut self, key: &EntryKey, state: &EntryState, seen: u64) {
+    /// Adds an entry in force that has no line in the file to the plan.
+    fn plan_missing_entry(&mut self, key: &EntryKey, state: &EntryState, seen: u64) {
         if state.offset >= seen {
             self.unseen.push((key.clone(), state.clone()));
         } else if key.section.is_permanent() {
--- a/crates/hibiscus-config/src/fold.rs
+++ b/crates/hibiscus-config/src/fold.rs
@@ -1,4 +1,5 @@
-//! The fold that accepts or refuses publications.
+//! Applies the records of the configuration stream in order and decides
+//! whether each publication is accepted or refused.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,69 +20,71 @@
 use crate::index::EntryIndex;
 use crate::record::ConfigRecord;
 
-/// Publications whose verdict is remembered. A repeat is appended within
-/// seconds, and this many take over an hour at 55,000 changes a day.
+/// Number of publications whose verdict is kept. A repeated record is
+/// appended within seconds of the first, and this many publications take over
+/// an hour at 55,000 changes a day.
 pub const VERDICT_LIMIT: usize = 4_096;
 
-/// Why a record could not be taken.
+/// An error of applying an encoded record.
 #[derive(Debug, thiserror::Error)]
 pub enum FoldError {
-    /// Records between the last one taken and this one are missing.
-    #[error("failed to take record {offset}: record {next} must come before")]
+    /// Records between the last applied record and this one are missing.
+    #[error("failed to apply record {offset}: record {next} must be applied first")]
     Gap {
-        /// The offset given.
+        /// Offset of the record.
         offset: u64,
-        /// The offset needed.
+        /// Offset of the next record to apply.
         next: u64,
     },
-    /// The record was written by a newer release, so its verdict is unknown
-    /// to this one.
-    #[error("failed to take record {offset}: it needs a newer release")]
+    /// A newer release wrote the record, so this release cannot decide on it.
+    #[error("failed to apply record {offset}: it needs a newer release")]
     NewerFormat {
-        /// The offset of the record.
+        /// Offset of the record.
         offset: u64,
-        /// The format found.
+        /// The error of the decoder, with the format version.
         source: CodecError,
     },
 }
 
-/// Result of taking a record.
+/// Result of applying an encoded record.
 pub type Result<T> = std::result::Result<T, FoldError>;
 
-/// One entry in force.
+/// An entry in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryState {
-    /// Its content.
+    /// Content of the entry.
     pub entry: ConfigEntry,
-    /// Offset of the publication that set it.
+    /// Offset of the publication that set the entry.
     pub offset: u64,
-    /// Who asked for it.
+    /// Name of the person who requested the entry.
     pub asked_by: String,
 }
 
-/// An entry on which a publication was refused.
+/// A conflict that caused a publication to be refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryConflict {
-    /// The entry.
+    /// Key of the entry in conflict.
     pub key: EntryKey,
-    /// The version in force, `None` when the entry is gone.
+    /// Offset of the publication that set the version in force, `None` if the
+    /// entry does not exist.
     pub offset: Option<u64>,
-    /// Who asked for the version in force.
+    /// Name of the person who requested the version in force.
     pub asked_by: Option<String>,
 }
 
-/// Whether a publication took effect.
+/// The decision on a publication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublicationVerdict {
-    /// It took effect at this offset.
+    /// The publication took effect at this offset.
     Accepted(u64),
-    /// Another publication changed these entries before.
+    /// The publication is refused because these entries have other versions in
+    /// force than those that it replaces.
     Conflict(Vec<EntryConflict>),
-    /// It would have left these entries without what they need.
+    /// The publication is refused because its changes fail these checks.
     Faulty(Vec<EntryFault>),
 }
 
-/// The configuration at one offset.
+/// The configuration at an offset of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigFold {
     next: u64,
@@ -107,32 +110,34 @@
 }
 
 impl ConfigFold {
-    /// The offset of the next record to apply.
+    /// Offset of the next record to apply.
     pub fn next_offset(&self) -> u64 {
         self.next
     }
 
-    /// One past the offset of the last accepted publication, 0 before it.
+    /// Version in force: one past the offset of the last accepted publication,
+    /// 0 before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The entries in force.
+    /// Entries in force by key.
     pub fn entries(&self) -> &BTreeMap<EntryKey, EntryState> {
         &self.entries
     }
 
-    /// Teams of removed budgets, which may come back only to the same team.
+    /// Teams of removed budgets. A removed budget may be added again only to the
+    /// same team.
     pub fn former_teams(&self) -> &BTreeMap<BudgetName, TeamName> {
         &self.former_teams
     }
 
-    /// The remembered verdicts, oldest first.
+    /// Kept verdicts by publication id, oldest first.
     pub fn verdicts(&self) -> &VecDeque<(u128, PublicationVerdict)> {
         &self.verdicts
     }
 
-    /// The verdict on `publication`, once its record was applied.
+    /// Returns the verdict on `publication` if it was decided and is still kept.
     pub fn verdict(&self, publication: u128) -> Option<&PublicationVerdict> {
         let found = self
             .verdicts
@@ -142,7 +147,7 @@
         Some(&found.1)
     }
 
-    /// A fold restored from a snapshot.
+    /// Restores a fold from the contents of a snapshot.
     pub(crate) fn restore(
         next: u64,
         version: u64,
@@ -164,13 +169,13 @@
         }
     }
 
-    /// Takes the encoded record at `offset`. A record that was taken before
-    /// changes nothing, and one that no release could decode is passed over.
+    /// Decodes and applies the record at `offset`. A record that was applied
+    /// before has no effect, and a malformed record is skipped.
     ///
     /// # Errors
     ///
-    /// Fails, without any change, when records are missing before this one
-    /// or a newer release wrote it.
+    /// Fails, and leaves the fold unchanged, if earlier records are missing or
+    /// a newer release wrote the record.
     pub fn take(&mut self, offset: u64, data: &[u8]) -> Result<()> {
         if offset < self.next {
             return Ok(());
@@ -189,8 +194,8 @@
         Ok(())
     }
 
-    /// Applies the record at `offset`. A record below [`Self::next_offset`]
-    /// or of a publication that was decided before changes nothing.
+    /// Applies the record at `offset`. A record below [`Self::next_offset`] has
+    /// no effect, and a repeated publication changes no entry.
     pub fn apply(&mut self, offset: u64, record: &ConfigRecord) {
         if offset < self.next {
             return;
@@ -201,7 +206,7 @@
         }
         let verdict = self.decide(offset, record);
         if matches!(verdict, PublicationVerdict::Accepted(_)) {
-            self.put_in_force(offset, record);
+            self.apply_changes(offset, record);
         }
         self.verdicts.push_back((record.publication, verdict));
         if self.verdicts.len() > VERDICT_LIMIT {
@@ -209,7 +214,7 @@
         }
     }
 
-    /// The verdict on `record` over the entries in force.
+    /// Decides on `record` against the entries in force, without applying it.
     pub fn decide(&self, offset: u64, record: &ConfigRecord) -> PublicationVerdict {
         let conflicts = self.conflicts(record);
         if !conflicts.is_empty() {
@@ -226,7 +231,7 @@
         PublicationVerdict::Accepted(offset)
     }
 
-    fn put_in_force(&mut self, offset: u64, record: &ConfigRecord) {
+    fn apply_changes(&mut self, offset: u64, record: &ConfigRecord) {
         for change in &record.changes {
             let Some(former) = self.entries.remove(&change.key) else {
                 continue;
@@ -254,7 +259,7 @@
         self.version = offset + 1;
     }
 
-    /// Changes of `record` that do not replace the version in force.
+    /// Returns the changes of `record` that do not replace the version in force.
     fn conflicts(&self, record: &ConfigRecord) -> Vec<EntryConflict> {
         let mut conflicts = Vec::new();
         for change in &record.changes {
--- a/crates/hibiscus-config/src/index.rs
+++ b/crates/hibiscus-config/src/index.rs
@@ -1,5 +1,6 @@
-//! References, claims and credits of the entries in force, kept up to date
-//! change by change, so that a check costs what changes and not what exists.
+//! Index of references, unique values (claims) and top-up sums (credits) of
+//! the entries in force. It is updated with each change, so the cost of a
+//! check depends on the number of changes, not on the number of entries.
 
 use std::collections::BTreeMap;
 
@@ -21,8 +22,9 @@
 }
 
 impl EntryIndex {
-    /// Whether `entry` needs `key` to stay. A top-up does not: its tokens
-    /// are counted when it is accepted, and a removed budget spends nothing.
+    /// Whether `entry` prevents the removal of the entry `key`. A top-up never
+    /// does: its tokens are counted when it is accepted, and a removed budget
+    /// spends nothing.
     pub fn refers(entry: &ConfigEntry, key: &EntryKey) -> bool {
         if matches!(entry, ConfigEntry::TopUp(_)) {
             return false;
@@ -32,23 +34,23 @@
             .is_some_and(|(_field, target)| target == *key)
     }
 
-    /// Entries that need `key` to stay.
+    /// Number of entries that prevent the removal of the entry `key`.
     pub fn references(&self, key: &EntryKey) -> usize {
         self.references.get(key).copied().unwrap_or(0)
     }
 
-    /// The entry that holds `claim`.
+    /// Key of the entry that holds the unique value `claim`.
     pub fn holder(&self, claim: &EntryClaim) -> Option<&EntryKey> {
         self.claims.get(claim)
     }
 
-    /// Sum of the top-ups of `budget`.
+    /// Sum of the top-ups of `budget`, in tokens.
     pub fn credited(&self, budget: &BudgetName) -> TokenCount {
         self.credits.get(budget).copied().unwrap_or_default()
     }
 
-    /// Counts an entry that comes into force. All entries that leave in the
-    /// same publication are taken out before.
+    /// Adds an entry. All entries that the same publication replaces or removes
+    /// must be removed first.
     pub fn add(&mut self, key: &EntryKey, entry: &ConfigEntry) {
         if let ConfigEntry::TopUp(top_up) = entry {
             let sum = self.credits.entry(top_up.budget.clone()).or_default();
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Takes out an entry that is replaced or removed. Top-ups never are.
+    /// Removes an entry that is replaced or removed, which top-ups never are.
     pub fn remove(&mut self, entry: &ConfigEntry) {
         if matches!(entry, ConfigEntry::TopUp(_)) {
             return;
--- a/crates/hibiscus-config/src/lib.rs
+++ b/crates/hibiscus-config/src/lib.rs
@@ -1,14 +1,16 @@
-//! The operators' file, its checks, and the configuration as a fold.
+//! Parses and checks the operators' configuration file and folds its
+//! published changes.
 //!
-//! An operator's file ([`file`]) holds one entry a line, each with a comment
-//! that names who asked for it. `publish` turns the difference between the
-//! file and the configuration in force into one [`record::ConfigRecord`],
-//! whose changes name the version of the entry that they replace. The
-//! [`fold`] accepts a record only when all its changes replace the version in
-//! force, so operators who race conflict only on the same entry, and every
-//! reader of the stream reaches the same [`snapshot::ConfigSnapshot`]. Records
-//! expire, so [`state`] cuts the whole fold into parts for the snapshot stream
-//! and for peers, and [`load`] joins the newest snapshot and the tail.
+//! The operators' file ([`file`]) holds one entry per line, each followed by
+//! a comment that names the person who requested it. `publish` writes the
+//! difference between the file and the configuration in force as one
+//! [`record::ConfigRecord`], in which each change names the version of the
+//! entry that it replaces. The [`fold`] accepts a record only if every change
+//! replaces the version in force. Concurrent publications therefore conflict
+//! only if they change the same entry, and all readers of the stream compute
+//! the same [`snapshot::ConfigSnapshot`]. Records expire, so [`state`] splits
+//! the fold into parts for the snapshot stream and for peers, and [`load`]
+//! applies the later records to the newest snapshot.
 
 pub mod check;
 pub mod entry;
@@ -27,7 +29,7 @@
 
 pub use reader::VERSION_FIELD;
 
-/// The stream that carries the configuration.
+/// Stream of configuration records.
 pub const CONFIG_STREAM: &str = "config";
-/// The stream that carries snapshots of the configuration, in parts.
+/// Stream of configuration snapshots, which are split into parts.
 pub const SNAPSHOT_STREAM: &str = "config/snapshots";
--- a/crates/hibiscus-config/src/load.rs
+++ b/crates/hibiscus-config/src/load.rs
@@ -1,5 +1,6 @@
-//! Loads the configuration from the log: the newest whole snapshot, then the
-//! records after it. The caller brings the reads, so nothing here does I/O.
+//! Loads the configuration from the log: the newest complete snapshot, then
+//! the records after it. The functions read through a [`PageSource`] and do no
+//! I/O themselves.
 
 use hibiscus_types::codec;
 use hibiscus_types::page::PageSource;
@@ -11,34 +12,35 @@
 use crate::state::StateAssembly;
 use crate::state::StatePart;
 
-/// A read beyond the end of a stream, which answers only its bounds.
+/// Offset beyond the end of any stream; a read from it returns only the bounds
+/// of the stream.
 const BEYOND_END: u64 = u64::MAX / 2;
 
-/// Why the configuration cannot be loaded.
+/// An error of loading the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError<E: std::error::Error + 'static> {
-    /// The log cannot be read.
+    /// The log could not be read.
     #[error("failed to read the configuration from the log")]
     Source(#[source] E),
-    /// A record cannot be taken.
+    /// A record could not be applied.
     #[error(transparent)]
     Fold(#[from] FoldError),
-    /// Records expired and no snapshot holds them.
+    /// Records expired, and no snapshot includes them.
     #[error("failed to find a snapshot: records up to {first} have expired")]
     Expired {
-        /// The oldest retained record.
+        /// Offset of the oldest retained record.
         first: u64,
     },
 }
 
-/// Result of loading.
+/// Result of loading the configuration.
 pub type Result<T, E> = std::result::Result<T, LoadError<E>>;
 
-/// The newest whole snapshot in the log, if there is one.
+/// Returns the newest complete snapshot in the log, if there is one.
 ///
 /// # Errors
 ///
-/// Fails when the log cannot be read.
+/// Fails if the log cannot be read.
 pub fn newest_snapshot<S: PageSource>(source: &S) -> Result<Option<ConfigFold>, S::Error> {
     let read = |from| {
         source
@@ -48,12 +50,13 @@
     let bounds = read(BEYOND_END)?;
     let mut assembly = StateAssembly::default();
     let mut at = bounds.end;
-    // Parts of one snapshot stand together, but those of two writers may
-    // mix: each step back takes one more record, newest first.
+    // The parts of one snapshot are consecutive, unless two writers append at
+    // the same time and interleave their parts. The loop therefore reads the
+    // records one by one, newest first.
     while at > bounds.first {
         at -= 1;
         let page = read(at)?;
-        // A page may start with a record that was delivered before.
+        // A page may start with a record before `at`, delivered again.
         let found = page.records.iter().find(|(offset, _data)| *offset == at);
         let Some((_offset, data)) = found else {
             continue;
@@ -68,13 +71,13 @@
     Ok(None)
 }
 
-/// Takes all records after `fold` that the log holds. A fold that the log no
-/// longer reaches is replaced by the newest snapshot.
+/// Applies all later records of the log to `fold`. If the next records of
+/// `fold` have expired, the newest snapshot replaces it first.
 ///
 /// # Errors
 ///
-/// Fails when the log cannot be read, a newer release wrote a record, or
-/// expired records are in no snapshot.
+/// Fails if the log cannot be read, a newer release wrote a record, or
+/// no snapshot includes the expired records.
 pub fn catch_up<S: PageSource>(source: &S, fold: &mut ConfigFold) -> Result<(), S::Error> {
     loop {
         let page = source
@@ -96,11 +99,11 @@
     }
 }
 
-/// The configuration that the log holds now.
+/// Loads the configuration from the newest snapshot and all later records.
 ///
 /// # Errors
 ///
-/// Fails as [`catch_up`] does.
+/// Fails in the same cases as [`catch_up`].
 pub fn load<S: PageSource>(source: &S) -> Result<ConfigFold, S::Error> {
     let mut fold = newest_snapshot(source)?.unwrap_or_default();
     catch_up(source, &mut fold)?;
--- a/crates/hibiscus-config/src/reader.rs
+++ b/crates/hibiscus-config/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads an operators' file and collects its faults by line and column.
+//! Parses an operators' file and collects its faults by line and column.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,23 +28,24 @@
 use crate::schema;
 use crate::schema::FieldSpec;
 
-/// The name of the field that holds the version a file was edited from.
+/// Name of the field with the version on which a file is based.
 pub const VERSION_FIELD: &str = "version";
 
-/// State of reading one file.
+/// State of parsing a file.
 pub(crate) struct FileReader<'a> {
     text: &'a str,
     line_starts: Vec<usize>,
     file: OperatorFile,
     faults: Vec<FileFault>,
-    places: BTreeMap<EntryKey, EntryPlace>,
+    positions: BTreeMap<EntryKey, EntryPosition>,
     sections: BTreeSet<ConfigSection>,
-    /// Entries with a faulty line: they exist for the lines that name them.
+    /// Entries with a faulty line. Other lines may refer to them without a
+    /// further fault.
     faulty: BTreeSet<EntryKey>,
 }
 
-/// Where an entry and its fields stand, as byte offsets.
-struct EntryPlace {
+/// Byte offsets of an entry and of its fields.
+struct EntryPosition {
     start: usize,
     fields: BTreeMap<String, usize>,
 }
@@ -56,13 +57,13 @@
             line_starts: line_starts(text),
             file: OperatorFile::default(),
             faults: Vec::new(),
-            places: BTreeMap::new(),
+            positions: BTreeMap::new(),
             sections: BTreeSet::new(),
             faulty: BTreeSet::new(),
         }
     }
 
-    /// The file, or all its faults.
+    /// Returns the file, or all its faults.
     pub(crate) fn read(mut self) -> Result<OperatorFile> {
         self.read_root();
         self.check_entries();
@@ -124,7 +125,7 @@
             return;
         };
         if !self.sections.insert(section) {
-            let message = format!("section `{section}` stands twice");
+            let message = format!("section `{section}` appears twice");
             self.fault(at, message, "move its lines into the first one");
         }
         let Value::Array(lines) = &property.value else {
@@ -143,12 +144,12 @@
             let (end, _column) = self.position(value.end());
             let next = next_starts.next().map(|at| self.position(at).0);
             if first == last_line {
-                let message = format!("several entries stand on line {first}");
+                let message = format!("line {first} holds several entries");
                 let hint = "give each entry a line of its own, ended by `// NAME`";
                 self.fault(value.start(), message, hint);
             }
             if first != end {
-                let message = "the entry stands on several lines".to_owned();
+                let message = "the entry spans several lines".to_owned();
                 self.fault(value.start(), message, "write one entry a line");
             }
             last_line = end;
@@ -173,7 +174,7 @@
         };
         let key = entry.key();
         if let Some(first) = self.file.entries.get(&key) {
-            let message = format!("{key} stands already on line {}", first.line);
+            let message = format!("{key} is already defined on line {}", first.line);
             self.fault(line.start(), message, "remove one of the two lines");
             return;
         }
@@ -182,16 +183,16 @@
             asked_by: asked_by.unwrap_or_default(),
             line: self.position(line.start()).0,
         };
-        self.places.insert(key.clone(), place);
+        self.positions.insert(key.clone(), place);
         self.file.entries.insert(key, entry);
     }
 
-    /// The entry, unless a field is at fault.
+    /// Returns the entry and its position, or `None` if a field is faulty.
     fn read_fields(
         &mut self,
         section: ConfigSection,
         line: &Object<'_>,
-    ) -> Option<(ConfigEntry, EntryPlace)> {
+    ) -> Option<(ConfigEntry, EntryPosition)> {
         let before = self.faults.len();
         let specs = schema::fields(section);
         let mut object = Map::new();
@@ -208,7 +209,7 @@
                 .insert(name.to_owned(), property.value.start())
                 .is_some()
             {
-                let message = format!("field `{name}` stands twice");
+                let message = format!("field `{name}` appears twice");
                 self.fault(property.start(), message, "remove one of the two");
             }
             if let Some(value) = self.read_field(spec, &property.value) {
@@ -223,12 +224,12 @@
             }
         }
         if self.faults.len() > before {
-            self.note_faulty(section, &object);
+            self.record_faulty_entry(section, &object);
             return None;
         }
         let start = line.start();
         match field::entry_of(section, object) {
-            Ok(entry) => Some((entry, EntryPlace { start, fields })),
+            Ok(entry) => Some((entry, EntryPosition { start, fields })),
             Err(error) => {
                 self.fault(start, error.to_string(), "correct the line");
                 None
@@ -236,8 +237,12 @@
         }
     }
 
-    /// Remembers the entry of a faulty line by its first field, its name.
-    fn note_faulty(&mut self, section: ConfigSection, object: &Map<String, serde_json::Value>) {
+    /// Records the key of a faulty line; the first field of a line is its name.
+    fn record_faulty_entry(
+        &mut self,
+        section: ConfigSection,
+        object: &Map<String, serde_json::Value>,
+    ) {
         let identifier = schema::fields(section)[0].name;
         if let Some(serde_json::Value::String(name)) = object.get(identifier) {
             self.faulty.insert(EntryKey::new(section, name));
@@ -264,30 +269,31 @@
         }
         let faults = check::check(&EmptySource::default(), &changes);
         for fault in faults {
-            if !self.follows_fault(&fault) {
-                self.place_fault(fault);
+            if !self.is_consequence(&fault) {
+                self.report_at_field(fault);
             }
         }
     }
 
-    /// Whether the fault only follows from another faulty line.
-    fn follows_fault(&self, fault: &EntryFault) -> bool {
+    /// Whether the fault is only a consequence of another faulty line: its field
+    /// refers to the entry of that line.
+    fn is_consequence(&self, fault: &EntryFault) -> bool {
         let held = self.file.entries.get(&fault.key);
         let reference = held.and_then(|held| held.entry.reference());
         reference
             .is_some_and(|(field, target)| field == fault.field && self.faulty.contains(&target))
     }
 
-    /// Reports a fault where its field stands.
-    fn place_fault(&mut self, fault: EntryFault) {
-        let Some(place) = self.places.get(&fault.key) else {
+    /// Reports a fault at the position of its field.
+    fn report_at_field(&mut self, fault: EntryFault) {
+        let Some(place) = self.positions.get(&fault.key) else {
             return;
         };
         let at = place.fields.get(&fault.field).unwrap_or(&place.start);
         self.fault(*at, fault.message, &fault.hint);
     }
 
-    /// The comment between `end` and the end of its line.
+    /// Returns the comment between the offset `end` and the end of its line.
     fn comment_after(&self, end: usize) -> Option<String> {
         let rest = self.text[end..].lines().next()?;
         let rest = rest.trim_start_matches([',', ' ', '\t', ']', '}']);
@@ -305,7 +311,7 @@
         });
     }
 
-    /// Line and column of the byte offset `at`, from 1.
+    /// Returns the line and column of the byte offset `at`, both from 1.
     fn position(&self, at: usize) -> (usize, usize) {
         let line = self.line_starts.partition_point(|start| *start <= at);
         let start = self.line_starts[line - 1];
@@ -313,13 +319,14 @@
     }
 }
 
-/// Byte offsets at which lines start.
+/// Returns the byte offsets at which lines start.
 fn line_starts(text: &str) -> Vec<usize> {
     let newlines = text.match_indices('\n').map(|(at, _newline)| at + 1);
     std::iter::once(0).chain(newlines).collect()
 }
 
-/// `text` with its version set to `version`, `None` when it is no object.
+/// Returns `text` with its version set to `version`, `None` if it is not an
+/// object.
 pub(crate) fn stamp(text: &str, version: u64) -> Option<String> {
     let options = ParseOptions::default();
     let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &options);
@@ -343,7 +350,7 @@
     Some(format!("{}{inserted}{}", &text[..start], &text[end..]))
 }
 
-/// Names the closest of the known names, or all of them.
+/// Suggests the known name most similar to `name`, or lists all known names.
 fn hint_of<'a>(name: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
     match schema::closest(name, known.clone()) {
         Some(meant) => format!("did you mean `{meant}`?"),
--- a/crates/hibiscus-config/src/record.rs
+++ b/crates/hibiscus-config/src/record.rs
@@ -10,36 +10,38 @@
 use crate::entry::ConfigEntry;
 use crate::entry::EntryKey;
 
-/// One changed entry.
+/// A change of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryChange {
-    /// The entry that changes.
+    /// Key of the entry.
     pub key: EntryKey,
-    /// Its new content, `None` to remove it.
+    /// New content of the entry, `None` to remove it.
     pub entry: Option<ConfigEntry>,
-    /// Offset of the version that it replaces, `None` for a new entry.
+    /// Offset of the publication that set the replaced version, `None` for a
+    /// new entry.
     pub replaces: Option<u64>,
-    /// Who asked for it, from the comment.
+    /// Name of the person who requested the change, from the comment of the line.
     pub asked_by: String,
 }
 
-/// One publication: all its changes are accepted, or none.
+/// A publication, whose changes are accepted all together or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRecord {
-    /// Identifies the publication, so that a lost reply can be resolved.
+    /// Id of the publication. After a lost response, the author finds the verdict
+    /// by this id.
     pub publication: u128,
-    /// The changes.
+    /// Changes of the publication.
     pub changes: Vec<EntryChange>,
 }
 
 impl ConfigRecord {
-    /// The proposal of `changes` by an author who has seen `version` in
-    /// force. The same changes over the same version are the same
-    /// publication, so that a repeat is recognised.
+    /// Creates a record of `changes` that is based on `version`. The id is
+    /// derived from both, so a repeat of the same changes on the same version
+    /// is recognised as the same publication.
     ///
     /// # Errors
     ///
-    /// Fails when the changes cannot be encoded.
+    /// Fails if the changes cannot be encoded.
     pub fn proposal(version: u64, changes: Vec<EntryChange>) -> Result<Self> {
         let digest = Sha256::digest(codec::encode(&(version, &changes))?);
         let mut publication = [0; 16];
--- a/crates/hibiscus-config/src/schema.rs
+++ b/crates/hibiscus-config/src/schema.rs
@@ -1,8 +1,8 @@
-//! The fields of each section: what a line may hold.
+//! The fields that a line of each section may hold.
 
 use crate::entry::ConfigSection;
 
-/// What a field holds.
+/// Type of the value of a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldKind {
     /// Text that is not empty.
@@ -24,7 +24,7 @@
 }
 
 impl FieldKind {
-    /// What is allowed, for messages.
+    /// Describes the allowed values for error messages.
     pub const fn allowed(self) -> &'static str {
         match self {
             Self::Text => "a text that is not empty",
@@ -39,18 +39,18 @@
     }
 }
 
-/// One field.
+/// A field of a section.
 #[derive(Clone, Copy, Debug)]
 pub struct FieldSpec {
-    /// Its name.
+    /// Name of the field.
     pub name: &'static str,
-    /// What it holds.
+    /// Type of the value.
     pub kind: FieldKind,
-    /// Whether a line must have it.
+    /// Whether every line must have the field.
     pub required: bool,
 }
 
-/// A field that a line must have.
+/// Creates a field that every line must have.
 const fn required(name: &'static str, kind: FieldKind) -> FieldSpec {
     FieldSpec {
         name,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A field that a line may leave out.
+/// Creates a field that a line may omit.
 const fn optional(name: &'static str, kind: FieldKind) -> FieldSpec {
     FieldSpec {
         name,
@@ -97,7 +97,7 @@
     required("cost", FieldKind::Tokens),
 ];
 
-/// The fields of a line in `section`.
+/// Returns the fields of a line in `section`.
 pub const fn fields(section: ConfigSection) -> &'static [FieldSpec] {
     match section {
         ConfigSection::Brands => BRAND,
@@ -110,14 +110,15 @@
     }
 }
 
-/// Edits that still make two names look alike.
-const HINT_DISTANCE: usize = 3;
+/// Most edits (Levenshtein distance) between a name and the one suggested for it.
+const HINT_EDIT_LIMIT: usize = 3;
 
-/// The name among `known` that `name` was probably meant to be.
+/// Returns the name in `known` that is most similar to `name`, if any is
+/// similar enough.
 pub fn closest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     known
         .map(|other| (strsim::levenshtein(name, other), other))
-        .filter(|(edits, other)| *edits <= HINT_DISTANCE && *edits < other.len())
+        .filter(|(edits, other)| *edits <= HINT_EDIT_LIMIT && *edits < other.len())
         .min()
         .map(|(_edits, other)| other)
 }
--- a/crates/hibiscus-config/src/shared_map.rs
+++ b/crates/hibiscus-config/src/shared_map.rs
@@ -1,9 +1,9 @@
-//! A map whose copies share what they have in common.
+//! A copy-on-write hash map whose clones share unchanged buckets.
 //!
-//! Readers keep the version of the configuration that they took while the
-//! next one is made from a copy, at 55,000 changes a day over 130,000
-//! budgets. A copy shares all buckets, and a change copies one of them, so
-//! both cost the same whether the map holds a thousand entries or all.
+//! Readers keep their version of the configuration while the next version is
+//! built from a clone, at 55,000 changes a day over 130,000 budgets. A clone
+//! shares all buckets, so it costs the same for any number of entries. A
+//! change copies only one bucket.
 
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
@@ -12,10 +12,10 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// Buckets of a map.
-const BUCKETS: usize = 256;
+/// Number of buckets of a map that is not empty.
+const BUCKET_COUNT: usize = 256;
 
-/// A map from `K` to `V` with cheap copies. Its order is that of the buckets.
+/// A map from `K` to `V` with cheap clones. It iterates in order of buckets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedMap<K, V> {
     buckets: Vec<Arc<BTreeMap<K, V>>>,
@@ -42,7 +42,7 @@
         self.len == 0
     }
 
-    /// The value of `key`.
+    /// Returns the value of `key`.
     pub fn get<Q>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -51,7 +51,7 @@
         self.buckets.get(bucket_of(key))?.get(key)
     }
 
-    /// The entry of `key`, with the key as it is held.
+    /// Returns the stored key and the value of `key`.
     pub fn get_key_value<Q>(&self, key: &Q) -> Option<(&K, &V)>
     where
         K: Borrow<Q>,
@@ -60,7 +60,7 @@
         self.buckets.get(bucket_of(key))?.get_key_value(key)
     }
 
-    /// Whether there is a value of `key`.
+    /// Whether the map holds `key`.
     pub fn contains_key<Q>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
@@ -69,10 +69,10 @@
         self.get(key).is_some()
     }
 
-    /// Sets the value of `key` and returns the one before.
+    /// Sets the value of `key` and returns the previous value.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         if self.buckets.is_empty() {
-            self.buckets.resize_with(BUCKETS, Arc::default);
+            self.buckets.resize_with(BUCKET_COUNT, Arc::default);
         }
         let bucket = &mut self.buckets[bucket_of(&key)];
         let before = Arc::make_mut(bucket).insert(key, value);
@@ -80,7 +80,7 @@
         before
     }
 
-    /// Removes the value of `key`.
+    /// Removes `key` and returns its value.
     pub fn remove<Q>(&mut self, key: &Q) -> Option<V>
     where
         K: Borrow<Q>,
@@ -95,20 +95,20 @@
         before
     }
 
-    /// All entries.
+    /// Iterates over all entries.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.buckets.iter().flat_map(|bucket| bucket.iter())
     }
 
-    /// All values.
+    /// Iterates over all values.
     pub fn values(&self) -> impl Iterator<Item = &V> {
         self.iter().map(|(_key, value)| value)
     }
 }
 
-/// The bucket of `key`.
+/// Index of the bucket of `key`.
 fn bucket_of<Q: Hash + ?Sized>(key: &Q) -> usize {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
-    usize::try_from(hasher.finish() % BUCKETS as u64).unwrap_or(0)
+    usize::try_from(hasher.finish() % BUCKET_COUNT as u64).unwrap_or(0)
 }
--- a/crates/hibiscus-config/src/snapshot.rs
+++ b/crates/hibiscus-config/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! The configuration in the form that the duties read.
+//! The configuration in the form that the router reads, with indexes for its
+//! lookups.
 
 use hibiscus_types::BudgetName;
 use hibiscus_types::GrantId;
@@ -22,7 +23,7 @@
 use crate::record::EntryChange;
 use crate::shared_map::SharedMap;
 
-/// The configuration at one version. Copies share what they have in common.
+/// The configuration at one version. Clones share their unchanged data.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigSnapshot {
     /// The version, 0 before the first publication.
@@ -33,7 +34,7 @@
     pub budgets: SharedMap<BudgetName, BudgetEntry>,
     /// Top-ups by id.
     pub top_ups: SharedMap<String, TopUpEntry>,
-    /// Releases of held grants by grant.
+    /// Releases of held grants by grant id.
     pub releases: SharedMap<GrantId, ReleaseEntry>,
     /// Services by name.
     pub services: SharedMap<ServiceName, ServiceEntry>,
@@ -46,7 +47,7 @@
 }
 
 impl ConfigSnapshot {
-    /// The configuration that `fold` has accepted.
+    /// Builds the snapshot of the entries in force in `fold`.
     pub fn from_fold(fold: &ConfigFold) -> Self {
         let mut snapshot = Self {
             version: fold.version(),
@@ -58,7 +59,7 @@
         snapshot
     }
 
-    /// Puts the accepted `changes` in force, which brings `version`.
+    /// Applies the `changes` of an accepted publication and sets `version`.
     pub fn apply(&mut self, version: u64, changes: &[EntryChange]) {
         for change in changes {
             self.remove(&change.key);
@@ -71,7 +72,7 @@
         self.version = version;
     }
 
-    /// Inserts `entry`, which the publication of `version` set.
+    /// Inserts `entry`, which was set by the publication that led to `version`.
     fn insert(&mut self, entry: &ConfigEntry, version: u64) {
         match entry {
             ConfigEntry::Team(team) => {
@@ -127,7 +128,8 @@
             ConfigSection::Routes => {
                 self.routes.remove(&key.name);
             }
-            // Top-ups and releases stay for good.
+            // Top-ups and releases are never removed, and the snapshot holds no
+            // brands.
             ConfigSection::Brands | ConfigSection::TopUps | ConfigSection::Releases => {}
         }
     }
@@ -146,8 +148,8 @@
         }
     }
 
-    /// The team that `api_key` identifies. The stored hash is found by the
-    /// hash of the key, then compared in constant time.
+    /// Returns the team that `api_key` identifies. The lookup uses the hash of
+    /// the key, and the stored hash is then compared in constant time.
     pub fn team_of_key(&self, api_key: &str) -> Option<&TeamName> {
         let hash = hash_api_key(api_key);
         let (stored, team) = self.team_keys.get_key_value(&hash)?;
@@ -155,24 +157,24 @@
         equal.then_some(team)
     }
 
-    /// One past the offset of the publication that set `service`, 0 when it
-    /// is not there.
+    /// One past the offset of the publication that set `service`, 0 if the
+    /// service does not exist.
     pub fn service_version(&self, service: &ServiceName) -> u64 {
         self.service_versions.get(service).copied().unwrap_or(0)
     }
 
-    /// The first budget of `team` by name.
+    /// Returns the first budget of `team` in order of name.
     pub fn budget_of(&self, team: &TeamName) -> Option<&BudgetEntry> {
         let names = self.team_budgets.get(team)?;
         self.budgets.get(names.first()?)
     }
 
-    /// Sum of the top-ups of `budget`.
+    /// Sum of the top-ups of `budget`, in tokens.
     pub fn credited(&self, budget: &BudgetName) -> TokenCount {
         self.credits.get(budget).copied().unwrap_or_default()
     }
 
-    /// The service that answers for `model`.
+    /// Returns the service that serves `model`.
     pub fn service_of_model(&self, model: &str) -> Option<&ServiceEntry> {
         self.services
             .values()
@@ -180,7 +182,7 @@
     }
 }
 
-/// SHA-256 of an API key in hexadecimal, as the operators' file holds it.
+/// Returns the SHA-256 of an API key in hexadecimal, as in the operators' file.
 pub fn hash_api_key(api_key: &str) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(api_key.as_bytes()) {
--- a/crates/hibiscus-config/src/state.rs
+++ b/crates/hibiscus-config/src/state.rs
@@ -1,5 +1,6 @@
-//! The whole fold in parts: appended to the snapshot stream before the
-//! records behind it expire, and sent to peers that start without the log.
+//! Splits a fold into parts and joins them again. The parts are appended to
+//! the snapshot stream before the records of the fold expire, and sent to
+//! peers that start while the log is unavailable.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -18,62 +19,62 @@
 use crate::fold::EntryState;
 use crate::fold::PublicationVerdict;
 
-/// Items in one part; a part of entries takes about 200 KB.
+/// Most items in one part; a part full of entries takes about 200 KB.
 pub const PART_ITEMS: usize = 1_000;
 
-/// Why a state cannot be cut into parts or joined.
+/// An error of splitting or joining a state.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// An item cannot be encoded.
+    /// An item could not be encoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// The joined items are not those that were cut.
+    /// The digest of the joined items differs from the one in the header.
     #[error("failed to join the snapshot at offset {next}: its digest differs")]
     Digest {
-        /// The offset that the snapshot stands at.
+        /// Offset of the first record after the snapshot.
         next: u64,
     },
 }
 
-/// Result of cutting or joining.
+/// Result of splitting or joining a state.
 pub type Result<T> = std::result::Result<T, StateError>;
 
-/// One item of a fold.
+/// An item of a fold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateItem {
     /// An entry in force.
     Entry(EntryKey, EntryState),
-    /// The team of a removed budget.
+    /// A removed budget and its team.
     FormerTeam(BudgetName, TeamName),
-    /// A remembered verdict.
+    /// A publication id and its verdict.
     Verdict(u128, PublicationVerdict),
 }
 
-/// What all parts of one state share.
+/// Header that is the same in all parts of a state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateHeader {
-    /// Offset of the first record that the state does not hold.
+    /// Offset of the first record after the state.
     pub next: u64,
     /// The version in force.
     pub version: u64,
     /// Number of parts.
     pub parts: u32,
-    /// SHA-256 over all items.
+    /// SHA-256 of all encoded items, in order.
     pub digest: [u8; 32],
 }
 
-/// One part of a state.
+/// A part of a state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatePart {
-    /// The state that it belongs to.
+    /// Header of the state.
     pub header: StateHeader,
-    /// Its position, from 0.
+    /// Position of the part, from 0.
     pub index: u32,
-    /// Its items.
+    /// Items of the part.
     pub items: Vec<StateItem>,
 }
 
-/// All items of `fold` in a fixed order.
+/// Iterates over all items of `fold` in a fixed order, which the digest needs.
 fn items(fold: &ConfigFold) -> impl Iterator<Item = StateItem> + '_ {
     let entries = fold
         .entries()
@@ -90,7 +91,7 @@
     entries.chain(former).chain(verdicts)
 }
 
-/// The header of the state of `fold`.
+/// Computes the header of the state of `fold`.
 pub fn header(fold: &ConfigFold) -> Result<StateHeader> {
     let mut hasher = Sha256::new();
     let mut count = 0_usize;
@@ -107,7 +108,8 @@
     })
 }
 
-/// The part `index` of `fold`, whose header is `header`.
+/// Returns the part of `fold` at position `index`; `header` is the header of
+/// `fold`.
 pub fn part(fold: &ConfigFold, header: &StateHeader, index: u32) -> StatePart {
     let skipped = usize::try_from(index).unwrap_or(usize::MAX);
     StatePart {
@@ -120,7 +122,7 @@
     }
 }
 
-/// Joins the parts of one state; parts may come twice and in any order.
+/// Joins the parts of a state, which may arrive repeatedly and in any order.
 #[derive(Clone, Debug, Default)]
 pub struct StateAssembly {
     header: Option<StateHeader>,
@@ -128,12 +130,14 @@
 }
 
 impl StateAssembly {
-    /// Takes a part. A part of a newer state drops the older parts, and one
-    /// of an older state is passed over. Answers the fold once it is whole.
+    /// Adds a part and returns the fold once all parts have arrived. A part of
+    /// a newer state discards the older parts, and a part of an older state is
+    /// ignored.
     ///
     /// # Errors
     ///
-    /// Fails when the parts do not match their digest.
+    /// Fails if an item cannot be encoded or the joined parts do not match
+    /// their digest.
     pub fn take(&mut self, part: StatePart) -> Result<Option<ConfigFold>> {
         let newer = self
             .header
@@ -160,7 +164,7 @@
     }
 }
 
-/// The fold of all `parts`.
+/// Builds the fold from all `parts`.
 fn join(header: &StateHeader, parts: BTreeMap<u32, Vec<StateItem>>) -> ConfigFold {
     let mut entries = BTreeMap::new();
     let mut former_teams = BTreeMap::new();
--- a/crates/hibiscus-config/tests/file.rs
+++ b/crates/hibiscus-config/tests/file.rs
@@ -1,11 +1,11 @@
-//! Faults of the operators' file, word for word.
+//! Exact texts and positions of the faults of an operators' file.
 
 use hibiscus_config::file::OperatorFile;
 
 /// Hash of an API key.
 const HASH: &str = "21f41cdb97862271c7653e7420c2ac1da53c98fc2afe2e3b2a58ae3f95c18eba";
 
-/// All faults of `text`, one after the other.
+/// Returns all faults of `text`, joined by line breaks.
 fn faults(text: &str) -> String {
     let error = OperatorFile::parse(text).expect_err("the file is faulty");
     let shown: Vec<String> = error.0.iter().map(ToString::to_string).collect();
@@ -52,7 +52,7 @@
     let expected = "\
 3:5: the entry names nobody who asked for it
   hint: end the line with `// NAME`
-5:5: brands `south` stands already on line 4
+5:5: brands `south` is already defined on line 4
   hint: remove one of the two lines
 8:30: brands `nord` does not exist
   hint: add it to `brands`, or correct `brand`
@@ -83,15 +83,15 @@
     "east"}, // Ana
 ]}"#;
     let expected = "\
-2:22: several entries stand on line 2
+2:22: line 2 holds several entries
   hint: give each entry a line of its own, ended by `// NAME`
-3:3: the entry stands on several lines
+3:3: the entry spans several lines
   hint: write one entry a line";
     assert_eq!(faults(text), expected);
 }
 
 #[test]
-fn top_ups_that_come_to_an_absurd_sum_are_a_fault() {
+fn top_ups_beyond_the_budget_limit_are_a_fault() {
     let text = format!(
         r#"{{
   "brands": [
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_key_of_two_teams_and_a_model_of_two_services_are_faults() {
+fn an_api_key_of_two_teams_and_a_model_of_two_services_are_faults() {
     let text = format!(
         r#"{{
   "brands": [
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn broken_syntax_is_reported_where_it_stands() {
+fn broken_syntax_is_reported_with_its_position() {
     let text = "{\n  \"brands\": [\n    {\"name\": }, // Ana\n  ],\n}";
     let shown = faults(text);
     assert!(
--- a/crates/hibiscus-config/tests/fold.rs
+++ b/crates/hibiscus-config/tests/fold.rs
@@ -1,4 +1,4 @@
-//! Verdicts of the configuration fold.
+//! Verdicts of the configuration fold, and snapshots that follow it.
 
 use hibiscus_config::entry::BrandEntry;
 use hibiscus_config::entry::BudgetEntry;
@@ -76,7 +76,7 @@
     fold.verdict(publication).expect("it was decided").clone()
 }
 
-/// Messages of a faulty publication.
+/// Returns the fault messages of a faulty publication.
 fn messages(verdict: PublicationVerdict) -> Vec<String> {
     let PublicationVerdict::Faulty(faults) = verdict else {
         panic!("not faulty: {verdict:?}");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_publication_that_leaves_a_dangling_reference_is_refused_whole() {
+fn a_publication_that_leaves_a_dangling_reference_is_refused_as_a_whole() {
     let mut fold = small_fold();
     let changes = vec![
         set(brand("south"), None),
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_team_can_go_with_its_budgets_and_their_top_ups_stay() {
+fn a_team_is_removed_with_its_budgets_and_their_top_ups_are_kept() {
     let mut fold = small_fold();
     let changes = vec![
         remove(ConfigSection::Teams, "lab", 0),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_top_up_neither_changes_nor_goes() {
+fn a_top_up_can_neither_change_nor_be_removed() {
     let mut fold = small_fold();
     let changed = vec![set(top_up("t-1", "gold", 900), Some(0))];
     assert_eq!(
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn the_later_of_two_changes_to_one_entry_learns_of_the_first() {
+fn the_later_of_two_changes_to_one_entry_conflicts_with_the_first() {
     let mut fold = small_fold();
     publish(&mut fold, vec![set(team("lab", "north"), Some(0))]);
     let verdict = publish(&mut fold, vec![set(team("lab", "north"), Some(0))]);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_repeat_changes_nothing_and_a_gap_is_not_passed_over() {
+fn a_repeated_record_changes_nothing_and_a_gap_is_an_error() {
     let mut fold = small_fold();
     let record = ConfigRecord {
         publication: 77,
@@ -191,27 +191,27 @@
     assert!(matches!(gap, FoldError::Gap { offset: 9, next: 3 }));
     assert_eq!(
         gap.to_string(),
-        "failed to take record 9: record 3 must come before"
+        "failed to apply record 9: record 3 must be applied first"
     );
 }
 
 #[test]
-fn a_newer_format_stops_the_fold_and_garbage_does_not() {
+fn a_newer_format_stops_the_fold_and_a_malformed_record_is_skipped() {
     let mut fold = small_fold();
     let newer = [9_u8, 0, 0];
     let error = fold.take(1, &newer).expect_err("the format is newer");
     assert_eq!(
         error.to_string(),
-        "failed to take record 1: it needs a newer release"
+        "failed to apply record 1: it needs a newer release"
     );
     assert_eq!(fold.next_offset(), 1);
     fold.take(1, &[1, 255, 255])
-        .expect("garbage is passed over");
+        .expect("a malformed record is skipped");
     assert_eq!(fold.next_offset(), 2);
 }
 
 #[test]
-fn a_snapshot_changed_step_by_step_is_that_of_the_fold() {
+fn a_snapshot_changed_step_by_step_equals_the_snapshot_of_the_fold() {
     let mut fold = ConfigFold::default();
     let mut snapshot = ConfigSnapshot::default();
     let key = "0".repeat(64);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn verdicts_are_bounded() {
+fn the_number_of_kept_verdicts_is_bounded() {
     let mut fold = ConfigFold::default();
     for number in 0..VERDICT_LIMIT as u64 + 10 {
         let record = ConfigRecord {
--- a/crates/hibiscus-config/tests/load.rs
+++ b/crates/hibiscus-config/tests/load.rs
@@ -1,4 +1,5 @@
-//! Snapshots and loading after records expired.
+//! Splits and joins snapshots, and loads the configuration after its oldest
+//! records expired.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -17,10 +18,10 @@
 use hibiscus_types::page::PageSource;
 use hibiscus_types::page::StreamPage;
 
-/// Records of one page.
+/// Most records of a page.
 const PAGE_RECORDS: usize = 7;
 
-/// Streams in memory, whose oldest records can expire.
+/// A log in memory whose oldest configuration records can expire.
 #[derive(Default)]
 struct MemoryLog {
     streams: BTreeMap<String, Vec<Vec<u8>>>,
@@ -72,7 +73,7 @@
         };
         let end = held.len() as u64;
         let mut records = Vec::new();
-        // The record before is delivered again, as a log may do.
+        // Delivers the previous record again, as a real log may do.
         let start = if from < end {
             from.saturating_sub(1).max(first)
         } else {
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_snapshot_and_the_tail_give_the_same_fold_as_all_records() {
+fn a_snapshot_and_the_later_records_give_the_same_fold_as_all_records() {
     let mut log = MemoryLog::default();
     for number in 0..2_500 {
         log.publish(number);
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn parts_of_two_writers_may_mix_and_repeat() {
+fn parts_of_two_writers_may_interleave_and_repeat() {
     let mut log = MemoryLog::default();
     for number in 0..1_500 {
         log.publish(number);
@@ -146,7 +147,7 @@
             joined = joined.or(assembly.take(part).expect("the digest is right"));
             let part = state::part(&older, &older_header, index);
             if joined.is_none() {
-                let stale = assembly.take(part).expect("it is passed over");
+                let stale = assembly.take(part).expect("the older part is ignored");
                 assert!(stale.is_none());
             }
         }
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn a_changed_part_does_not_pass_its_digest() {
+fn a_changed_part_fails_the_digest_check() {
     let mut log = MemoryLog::default();
     log.publish(0);
     let fold = load::load(&log).expect("the log is whole");
--- a/crates/hibiscusctl/src/ops/publish.rs
+++ b/crates/hibiscusctl/src/ops/publish.rs
@@ -133,7 +133,7 @@
     }
     let removals = plan.removals();
     match options.removed_by {
-        Some(name) => plan.name_removals(name),
+        Some(name) => plan.attribute_removals(name),
         None if removals.is_empty() => {}
         None => {
             let outcome = PublishOutcome::Unnamed(removals);
