--- a/crates/hibiscus-config/src/check.rs
+++ b/crates/hibiscus-config/src/check.rs
@@ -161,8 +161,8 @@
         self.fault(key, "", message, "give the new one an id of its own");
     }
 
-    /// Checks that a budget does not move to another team, which would then be
-    /// charged for the spending of the first one.
+    /// Checks that a budget does not move to another team, because charges would
+    /// then go to the wrong team.
     fn check_team(&mut self, key: &EntryKey, name: &BudgetName, team: &TeamName) {
         let held = match self.source.entry(key) {
             Some(ConfigEntry::Budget(held)) => Some(&held.team),
--- a/crates/hibiscus-config/src/fold.rs
+++ b/crates/hibiscus-config/src/fold.rs
@@ -176,7 +176,7 @@
     ///
     /// Fails, and leaves the fold unchanged, if earlier records are missing or
     /// a newer release wrote the record.
-    pub fn take(&mut self, offset: u64, data: &[u8]) -> Result<()> {
+    pub fn apply_encoded(&mut self, offset: u64, data: &[u8]) -> Result<()> {
         if offset < self.next {
             return Ok(());
         }
--- a/crates/hibiscus-config/src/load.rs
+++ b/crates/hibiscus-config/src/load.rs
@@ -64,7 +64,7 @@
         let Ok(part) = codec::decode::<StatePart>(data) else {
             continue;
         };
-        if let Ok(Some(fold)) = assembly.take(part) {
+        if let Ok(Some(fold)) = assembly.add_part(part) {
             return Ok(Some(fold));
         }
     }
@@ -91,7 +91,7 @@
             continue;
         }
         for (offset, data) in &page.records {
-            fold.take(*offset, data)?;
+            fold.apply_encoded(*offset, data)?;
         }
         if fold.next_offset() >= page.end {
             return Ok(());
--- a/crates/hibiscus-config/src/state.rs
+++ b/crates/hibiscus-config/src/state.rs
@@ -138,7 +138,7 @@
     ///
     /// Fails if an item cannot be encoded or the joined parts do not match
     /// their digest.
-    pub fn take(&mut self, part: StatePart) -> Result<Option<ConfigFold>> {
+    pub fn add_part(&mut self, part: StatePart) -> Result<Option<ConfigFold>> {
         let newer = self
             .header
             .as_ref()
--- a/crates/hibiscus-config/tests/fold.rs
+++ b/crates/hibiscus-config/tests/fold.rs
@@ -181,13 +181,16 @@
         changes: vec![set(brand("south"), None)],
     };
     let data = codec::encode(&record).expect("it encodes");
-    fold.take(1, &data).expect("it is next");
+    fold.apply_encoded(1, &data).expect("it is next");
     let before = fold.clone();
-    fold.take(1, &data).expect("a repeat is harmless");
+    fold.apply_encoded(1, &data).expect("a repeat is harmless");
     assert_eq!(fold, before);
-    fold.take(2, &data).expect("the log holds it twice");
+    fold.apply_encoded(2, &data)
+        .expect("the log holds it twice");
     assert_eq!(fold.version(), before.version());
-    let gap = fold.take(9, &data).expect_err("records are missing");
+    let gap = fold
+        .apply_encoded(9, &data)
+        .expect_err("records are missing");
     assert!(matches!(gap, FoldError::Gap { offset: 9, next: 3 }));
     assert_eq!(
         gap.to_string(),
@@ -199,13 +202,15 @@
 fn a_newer_format_stops_the_fold_and_a_malformed_record_is_skipped() {
     let mut fold = small_fold();
     let newer = [9_u8, 0, 0];
-    let error = fold.take(1, &newer).expect_err("the format is newer");
+    let error = fold
+        .apply_encoded(1, &newer)
+        .expect_err("the format is newer");
     assert_eq!(
         error.to_string(),
         "failed to apply record 1: it needs a newer release"
     );
     assert_eq!(fold.next_offset(), 1);
-    fold.take(1, &[1, 255, 255])
+    fold.apply_encoded(1, &[1, 255, 255])
         .expect("a malformed record is skipped");
     assert_eq!(fold.next_offset(), 2);
 }
--- a/crates/hibiscus-config/tests/load.rs
+++ b/crates/hibiscus-config/tests/load.rs
@@ -144,10 +144,10 @@
     for index in (0..header.parts).rev() {
         for _repeat in 0..2 {
             let part = state::part(&newer, &header, index);
-            joined = joined.or(assembly.take(part).expect("the digest is right"));
+            joined = joined.or(assembly.add_part(part).expect("the digest is right"));
             let part = state::part(&older, &older_header, index);
             if joined.is_none() {
-                let stale = assembly.take(part).expect("the older part is ignored");
+                let stale = assembly.add_part(part).expect("the older part is ignored");
                 assert!(stale.is_none());
             }
         }
@@ -164,7 +164,7 @@
     let mut part = state::part(&fold, &header, 0);
     part.items.pop();
     let error = StateAssembly::default()
-        .take(part)
+        .add_part(part)
         .expect_err("an item is missing");
     assert_eq!(
         error.to_string(),
--- a/crates/hibiscus-router/src/config/cell.rs
+++ b/crates/hibiscus-router/src/config/cell.rs
@@ -97,7 +97,7 @@
         for (offset, data) in records {
             let version = held.fold.version();
             let before = held.fold.next_offset();
-            outcome = held.fold.take(*offset, data);
+            outcome = held.fold.apply_encoded(*offset, data);
             if outcome.is_err() {
                 break;
             }
--- a/crates/hibiscus-router/src/config/peers.rs
+++ b/crates/hibiscus-router/src/config/peers.rs
@@ -133,7 +133,7 @@
         };
         next = Some(part.header.next);
         index = part.index + 1;
-        if let Some(fold) = assembly.take(*part).ok()? {
+        if let Some(fold) = assembly.add_part(*part).ok()? {
             follow::replace(context, fold);
             return Some(());
         }
