--- a/tests/testsuite/front/operations.rs
+++ b/tests/testsuite/front/operations.rs
@@ -91,7 +91,10 @@
     });
     let refused = refused.expect("the holding ends");
     let shown = timeline(&platform, &["--request", &refused]);
-    assert!(shown.contains("HS3107 tokens are short"), "{shown}");
+    assert!(
+        shown.contains("HS3107 available tokens do not cover the request"),
+        "{shown}"
+    );
     assert!(shown.contains("reason=budget_unconfirmed"), "{shown}");
     let all = timeline(&platform, &[]);
     let lost = "HS3005 append failed and will be repeated detail=cause=failed to call the store: it refused with status 503";
@@ -111,7 +114,9 @@
         let id = format!("id-late-{number}");
         assert_eq!(status(&platform.call("/often/x", &id, "")), "200");
         let shown = timeline(&platform, &["--request", &id]);
-        shown.contains("HS4206 server failed").then_some(shown)
+        shown
+            .contains("HS4206 server failed while it processed the request")
+            .then_some(shown)
     });
     let shown = late.expect("a request meets the failing server first");
     assert!(shown.contains("server=i-plain"), "{shown}");
