--- a/crates/hibiscus-events/src/catalogue.rs
+++ b/crates/hibiscus-events/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! The catalogue of events; `docs/events.md` holds the same list.
+//! The catalogue of events. A test checks that `docs/events.md` holds the same
+//! list.
 
 use log::Level;
 use serde::Deserialize;
@@ -14,20 +15,20 @@
         }
 
         impl EventCode {
-            /// All events in order of number.
+            /// All events in the order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The number, such as `HS1001`.
+            /// Returns the event number, such as `HS1001`.
             pub const fn number(self) -> &'static str {
                 match self { $(Self::$variant => $number,)* }
             }
 
-            /// The log level.
+            /// Returns the log level.
             pub const fn level(self) -> Level {
                 match self { $(Self::$variant => Level::$level,)* }
             }
 
-            /// The text.
+            /// Returns the event text.
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$variant => $text,)* }
             }
--- a/crates/hibiscus-events/src/lib.rs
+++ b/crates/hibiscus-events/src/lib.rs
@@ -1,9 +1,10 @@
 //! Numbered events of a process, kept in a bounded ring and written to the
 //! log.
 //!
-//! [`catalogue`] lists every event with its number. An [`recorder::EventRecorder`]
-//! stamps each event by a hybrid logical clock, so that the rings of all
-//! processes merge into one time line in which no effect precedes its cause.
+//! [`catalogue`] lists every event with its number, level and text. An
+//! [`recorder::EventRecorder`] gives each event the time of a hybrid logical
+//! clock, so that the events of all processes merge into one time line in which
+//! no effect precedes its cause.
 
 pub mod catalogue;
 pub mod logging;
@@ -16,7 +17,7 @@
 pub use recorder::EventRecord;
 pub use recorder::EventRecorder;
 
-/// Writes one line of the log: the event's number and text, then its fields as
+/// Writes one log line: the number and text of the event, then its fields as
 /// `name=value`.
 #[macro_export]
 macro_rules! event {
--- a/crates/hibiscus-events/src/logging.rs
+++ b/crates/hibiscus-events/src/logging.rs
@@ -1,4 +1,4 @@
-//! Where a process writes its log.
+//! Log output of a process, with a limit on the number of lines per second.
 
 use std::fmt;
 use std::fmt::Arguments;
@@ -16,35 +16,38 @@
 use crate::catalogue::EventCode;
 use crate::output::OutputRing;
 
-/// Lines of routine events a second: 20 requests a second are usual for an
-/// instance, and a line costs some 20 us.
+/// Number of log lines per second from which on routine events are dropped. An
+/// instance usually serves 20 requests per second, and a line costs about
+/// 20 us.
 const ROUTINE_LINES: u32 = 150;
-/// Lines of all events a second.
+/// Number of log lines per second from which on all events are dropped.
 const ALL_LINES: u32 = 400;
-/// Metric that counts lines that were not written.
+/// Metric that counts dropped log lines.
 pub const DROPPED_METRIC: &str = "hibiscus_log_lines_dropped_total";
-/// Span over which lines are counted.
+/// Length of the window in which lines are counted.
 const LINE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines written within the present window.
+/// Limits the number of log lines per window.
 #[derive(Debug)]
-struct LineBudget {
-    begun: Option<Instant>,
+struct LineLimiter {
+    window_start: Option<Instant>,
     written: u32,
     dropped: u64,
 }
 
-/// The budget of this process.
-static LINES: Mutex<LineBudget> = Mutex::new(LineBudget {
-    begun: None,
+/// The limiter of this process.
+static LINES: Mutex<LineLimiter> = Mutex::new(LineLimiter {
+    window_start: None,
     written: 0,
     dropped: 0,
 });
 
-impl LineBudget {
-    /// Whether a line of `code` may be written; failures go before routine. So
-    /// do levels and what is found out after a start: these are few, and say
-    /// most when there is much to write.
+impl LineLimiter {
+    /// Returns whether a line of `code` may be written, and counts it.
+    ///
+    /// Failures have a higher limit than routine events. So do gauges and the
+    /// events of recovery after a start: they are few, and are most useful
+    /// when there is much to write.
     fn admit(&mut self, code: EventCode) -> bool {
         let is_few = matches!(
             code,
@@ -67,21 +70,21 @@
         true
     }
 
-    /// Begins a new window when the present one is over; returns the lines
-    /// that were dropped in it.
-    fn turn(&mut self, now: Instant) -> u64 {
-        let begun = *self.begun.get_or_insert(now);
-        if now.saturating_duration_since(begun) < LINE_WINDOW {
+    /// Starts a new window when the current one is over. Returns the number
+    /// of lines that were dropped in the old window.
+    fn advance_window(&mut self, now: Instant) -> u64 {
+        let window_start = *self.window_start.get_or_insert(now);
+        if now.saturating_duration_since(window_start) < LINE_WINDOW {
             return 0;
         }
-        self.begun = Some(now);
+        self.window_start = Some(now);
         self.written = 0;
         std::mem::take(&mut self.dropped)
     }
 }
 
-/// Writes one line, unless the lines of this second are used up. See
-/// [`crate::event!`].
+/// Writes one log line, unless the limit of the current second is reached. Use
+/// the macro [`crate::event!`] to call it.
 pub fn write(code: EventCode, fields: Arguments<'_>) {
     let level = code.level();
     if level > log::max_level() {
@@ -90,7 +93,7 @@
     let now = Instant::now();
     let (dropped, admitted) = {
         let mut lines = LINES.lock().unwrap_or_else(PoisonError::into_inner);
-        (lines.turn(now), lines.admit(code))
+        (lines.advance_window(now), lines.admit(code))
     };
     if dropped > 0 {
         let code = EventCode::LinesDropped;
@@ -120,13 +123,13 @@
     Ok(())
 }
 
-/// Writes lines of at least `level` to standard output, which never blocks
-/// who writes one. Dropping the returned value writes the last lines.
+/// Writes events of at least `level` to standard output without blocking the
+/// threads that log them. Dropping the returned guard writes the last lines.
 ///
 /// # Errors
 ///
-/// Fails when `level` names no level, a logger was started before or the
-/// system refuses a thread.
+/// Fails when `level` is not a valid level, a logger is already installed or
+/// the writer thread cannot be created.
 pub fn start_stdout(level: &str) -> Result<LogGuard> {
     let ring = OutputRing::start(io::stdout())?;
     let handle = Logger::try_with_str(level)?
@@ -135,7 +138,7 @@
     Ok(LogGuard { handle })
 }
 
-/// Writes the last lines when it is dropped.
+/// Writes the remaining log lines when it is dropped.
 pub struct LogGuard {
     handle: LoggerHandle,
 }
--- a/crates/hibiscus-events/src/output.rs
+++ b/crates/hibiscus-events/src/output.rs
@@ -1,7 +1,8 @@
-//! Standard output that never blocks whoever writes a line.
+//! Standard output that never blocks the threads that write log lines.
 //!
-//! A thread of its own writes what a bounded ring holds, many lines a call. A
-//! reader that stops fills the ring; further lines are dropped and counted.
+//! A dedicated thread writes the lines of a bounded ring, many lines per system
+//! call. When the reader of standard output stops, the ring fills up, and
+//! further lines are dropped and counted.
 
 use std::fmt;
 use std::fmt::Write as _;
@@ -20,39 +21,41 @@
 use flexi_logger::writers::LogWriter;
 use log::Record;
 
-/// Lines that wait to be written: five seconds of the most that are admitted.
+/// Largest number of lines that wait to be written: five seconds at the
+/// highest rate that the log admits.
 pub const RING_CAPACITY: usize = 2_000;
-/// Time for which lines are gathered into one call. A kill loses as much; with
-/// 20 ms the wake-ups cost 5 in 100 of a quiet instance's processor, with
-/// 100 ms nothing that could be measured.
+/// Time for which lines are gathered into one write call. A killed process
+/// loses the lines of this time. At 20 ms, the wake-ups use 5 % of the
+/// processor time of an idle instance; at 100 ms, their cost is negligible.
 const GATHER_TIME: Duration = Duration::from_millis(100);
-/// Time for the last lines of a process whose reader has stopped.
+/// Longest wait for the last lines of a process to be written, in case the
+/// reader of standard output has stopped.
 pub const FLUSH_LIMIT: Duration = Duration::from_millis(500);
-/// Pause before a full ring is tried again.
-const FLUSH_PAUSE: Duration = Duration::from_millis(5);
-/// Stack of the thread, in bytes.
+/// Interval between two attempts to queue a flush in a full ring.
+const FLUSH_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Stack size of the writer thread, in bytes.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// What the thread takes.
+/// A message to the writer thread.
 enum OutputItem {
-    /// One line, with its end.
+    /// One line, including its line break.
     Line(String),
-    /// Tells when all lines before were written.
+    /// A request to report when all earlier lines have been written.
     Flush(SyncSender<()>),
 }
 
-/// Hands lines to the thread that writes them.
+/// Log writer that queues lines for the writer thread.
 pub struct OutputRing {
     ring: SyncSender<OutputItem>,
     dropped: AtomicU64,
 }
 
 impl OutputRing {
-    /// Starts the thread, which writes to `output`.
+    /// Starts the writer thread, which writes to `output`.
     ///
     /// # Errors
     ///
-    /// Fails when the system refuses a thread.
+    /// Fails when the thread cannot be created.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<Self> {
         let (ring, items) = mpsc::sync_channel(RING_CAPACITY);
         thread::Builder::new()
@@ -66,26 +69,27 @@
     }
 }
 
-/// Writes lines until the ring is dropped.
+/// Writes the received lines to `output` until the ring is dropped.
 fn write_lines(mut output: impl Write, items: &Receiver<OutputItem>) {
     let mut text = String::new();
     while let Ok(first) = items.recv() {
-        let mut waiting = Vec::new();
+        let mut flushes = Vec::new();
         if matches!(first, OutputItem::Line(_)) {
             thread::sleep(GATHER_TIME);
         }
         for item in std::iter::once(first).chain(items.try_iter()) {
             match item {
                 OutputItem::Line(line) => text.push_str(&line),
-                OutputItem::Flush(done) => waiting.push(done),
+                OutputItem::Flush(done) => flushes.push(done),
             }
         }
-        // Nowhere is left to tell of a closed standard output.
+        // A failure is ignored: a closed standard output cannot be reported
+        // anywhere.
         let _written = output.write_all(text.as_bytes());
         let _flushed = output.flush();
         text.clear();
-        for done in waiting {
-            let _told = done.try_send(());
+        for done in flushes {
+            let _notified = done.try_send(());
         }
     }
 }
@@ -122,13 +126,13 @@
     fn flush(&self) -> io::Result<()> {
         let (done, written) = mpsc::sync_channel(1);
         let begun = Instant::now();
-        // A reader that has stopped must not hold up the end.
+        // A stopped reader must not delay the exit of the process.
         while begun.elapsed() < FLUSH_LIMIT {
             if self.ring.try_send(OutputItem::Flush(done.clone())).is_ok() {
                 let _written = written.recv_timeout(FLUSH_LIMIT);
                 break;
             }
-            thread::sleep(FLUSH_PAUSE);
+            thread::sleep(FLUSH_RETRY_INTERVAL);
         }
         Ok(())
     }
--- a/crates/hibiscus-events/src/recorder.rs
+++ b/crates/hibiscus-events/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The bounded ring of one process.
+//! Recorder of the events of one process, which keeps them in a bounded ring.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -11,29 +11,29 @@
 
 use crate::catalogue::EventCode;
 
-/// Events that a process keeps.
+/// Largest number of events that a process keeps.
 pub const RING_CAPACITY: usize = 20_000;
 
 /// Metric that counts events by their number.
 pub const EVENTS_METRIC: &str = "hibiscus_events_total";
 
-/// What an event is about. Empty fields do not apply.
+/// The subjects of an event. A field that does not apply is empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EventFields {
-    /// The request.
+    /// The key or ID of the request.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub request: String,
-    /// The team.
+    /// The name of the team.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub team: String,
-    /// The budget.
+    /// The name of the budget.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub budget: String,
-    /// The server.
+    /// The name of the server.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub server: String,
-    /// Anything else, as text.
+    /// Further details as text.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
@@ -41,35 +41,35 @@
 /// One event as it is served and saved.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRecord {
-    /// Hybrid logical time, which orders events: an effect's is above its
-    /// cause's. Seconds since the Unix epoch in the upper 32 bits, their
-    /// fraction in the lower.
+    /// Hybrid logical time, which orders events: the time of an effect is
+    /// later than that of its cause. The upper 32 bits hold the seconds since
+    /// the Unix epoch, the lower 32 bits the fraction of a second.
     pub stamp: u64,
     /// The same time in nanoseconds since the Unix epoch, for display.
     pub time_ns: u64,
-    /// Number of the event in its process, from 0.
+    /// Sequence number of the event in its process, from 0.
     pub sequence: u64,
     /// The instance that recorded it.
     pub instance: String,
-    /// The number of its kind.
+    /// The event number, such as `HS1001`.
     pub code: String,
-    /// The text of its kind.
+    /// The event text.
     pub text: String,
-    /// What it is about.
+    /// The subjects of the event.
     #[serde(flatten)]
     pub fields: EventFields,
 }
 
-/// Events of a ring from one position on.
+/// The events of a ring from a given sequence number on.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct EventPage {
-    /// Events that the ring dropped before the first of this page.
+    /// Number of requested events that the ring has already dropped.
     pub dropped: u64,
-    /// The events in order.
+    /// The events in the order of their sequence numbers.
     pub events: Vec<EventRecord>,
 }
 
-/// State of the ring.
+/// The newest events and the sequence number of the next one.
 #[derive(Default)]
 struct EventRing {
     next: u64,
@@ -84,7 +84,7 @@
 }
 
 impl EventRecorder {
-    /// An empty ring of `instance`.
+    /// Creates a recorder for `instance` without events.
     pub fn new(instance: &str) -> Self {
         Self {
             instance: instance.to_owned(),
@@ -93,17 +93,17 @@
         }
     }
 
-    /// The present time, to be sent along with a message.
+    /// Returns the current hybrid logical time, to be sent with a message.
     pub fn stamp(&self) -> u64 {
         self.clock.new_timestamp().get_time().as_u64()
     }
 
-    /// Moves the clock past a time received with a message.
+    /// Advances the clock past `stamp`, a time received with a message.
     pub fn observe(&self, stamp: u64) {
         let time = uhlc::NTP64(stamp);
         let timestamp = Timestamp::new(time, *self.clock.get_id());
-        // A time too far ahead is not taken over: the sender's clock is wrong.
-        let _refused = self.clock.update_with_timestamp(&timestamp);
+        // The clock rejects a time too far ahead: the sender's clock is wrong.
+        let _rejected = self.clock.update_with_timestamp(&timestamp);
     }
 
     /// Records an event and writes it to the log.
@@ -119,7 +119,8 @@
         metrics::counter!(EVENTS_METRIC, "instance" => instance, "code" => code.number())
             .increment(1);
         let mut ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
-        // Under the lock, so that numbers and times have the same order.
+        // The time is taken under the lock, so that sequence numbers and times
+        // have the same order.
         let time = self.clock.new_timestamp();
         let elapsed = time.get_time().to_duration();
         let record = EventRecord {
@@ -138,7 +139,7 @@
         ring.events.push_back(record);
     }
 
-    /// The events from number `from` on.
+    /// Returns the events from sequence number `from` on.
     pub fn page(&self, from: u64) -> EventPage {
         let ring = self.ring.lock().unwrap_or_else(PoisonError::into_inner);
         let first = ring.next - ring.events.len() as u64;
@@ -150,7 +151,7 @@
     }
 }
 
-/// The fields that apply, as `name=value`.
+/// Formats the fields that are not empty as `name=value`.
 fn describe(fields: &EventFields) -> String {
     let mut text = String::new();
     let named = [
--- a/crates/hibiscus-events/tests/output.rs
+++ b/crates/hibiscus-events/tests/output.rs
@@ -1,4 +1,4 @@
-//! The ring before standard output.
+//! Tests of the log writer for standard output.
 
 use std::io;
 use std::io::Write;
@@ -17,16 +17,16 @@
 use log::Level;
 use log::Record;
 
-/// An output whose reader takes nothing until it is told to.
-struct StoppedOutput {
-    go: mpsc::Receiver<()>,
+/// An output that blocks each write until the test permits it.
+struct BlockedOutput {
+    permits: mpsc::Receiver<()>,
     text: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for StoppedOutput {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _go = self.go.recv();
-        self.text.lock().expect("the text").extend(bytes);
+        let _permit = self.permits.recv();
+        self.text.lock().expect("no holder panics").extend(bytes);
         Ok(bytes.len())
     }
 
@@ -35,14 +35,16 @@
     }
 }
 
-fn stopped() -> (OutputRing, Sender<()>, Arc<Mutex<Vec<u8>>>) {
-    let (sender, go) = mpsc::channel();
+/// Starts a ring whose output is blocked. Returns the ring, the sender of write
+/// permits and the text written so far.
+fn start_blocked() -> (OutputRing, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+    let (sender, permits) = mpsc::channel();
     let text = Arc::<Mutex<Vec<u8>>>::default();
-    let output = StoppedOutput {
-        go,
+    let output = BlockedOutput {
+        permits,
         text: Arc::clone(&text),
     };
-    let ring = OutputRing::start(output).expect("a thread");
+    let ring = OutputRing::start(output).expect("the thread can be created");
     (ring, sender, text)
 }
 
@@ -53,24 +55,24 @@
         &mut DeferredNow::new(),
         &record.args(format_args!("line {number}")).build(),
     );
-    written.expect("nothing fails");
+    written.expect("the ring reports no error");
 }
 
 #[test]
-fn a_reader_that_stops_holds_nobody_up_and_the_lost_lines_are_counted() {
-    let (ring, go, text) = stopped();
+fn a_stopped_reader_does_not_block_logging_and_dropped_lines_are_counted() {
+    let (ring, permits, text) = start_blocked();
     let begun = Instant::now();
     for number in 0..3 * RING_CAPACITY {
         write(&ring, number);
     }
     assert!(begun.elapsed() < Duration::from_secs(5));
     for _line in 0..4 {
-        go.send(()).expect("the reader");
+        permits.send(()).expect("the writer thread runs");
     }
-    ring.flush().expect("nothing fails");
+    ring.flush().expect("the ring reports no error");
     write(&ring, 9_999);
-    ring.flush().expect("nothing fails");
-    let text = text.lock().expect("the text").clone();
+    ring.flush().expect("the ring reports no error");
+    let text = text.lock().expect("no holder panics").clone();
     let text = String::from_utf8(text).expect("text");
     assert!(text.contains("INFO line 0\n"), "{text}");
     assert!(text.contains("cause=output_full"), "{text}");
@@ -78,14 +80,17 @@
 }
 
 #[test]
-fn a_flush_waits_for_the_lines_before_it_but_not_for_ever() {
-    let (ring, go, text) = stopped();
-    go.send(()).expect("the reader");
+fn a_flush_waits_for_earlier_lines_but_only_for_a_limited_time() {
+    let (ring, permits, text) = start_blocked();
+    permits.send(()).expect("the writer thread runs");
     write(&ring, 1);
-    ring.flush().expect("nothing fails");
-    assert_eq!(text.lock().expect("the text").as_slice(), b"INFO line 1\n");
+    ring.flush().expect("the ring reports no error");
+    assert_eq!(
+        text.lock().expect("no holder panics").as_slice(),
+        b"INFO line 1\n"
+    );
     write(&ring, 2);
     let begun = Instant::now();
-    ring.flush().expect("nothing fails");
+    ring.flush().expect("the ring reports no error");
     assert!(begun.elapsed() < 10 * FLUSH_LIMIT);
 }
--- a/crates/hibiscus-events/tests/volume.rs
+++ b/crates/hibiscus-events/tests/volume.rs
@@ -1,4 +1,4 @@
-//! Which lines are written when there are more than a second may have.
+//! Tests of the limit on log lines per second.
 
 use std::sync::Mutex;
 
@@ -9,7 +9,7 @@
 use log::Metadata;
 use log::Record;
 
-/// Keeps the lines.
+/// Logger that keeps the lines in memory.
 struct LineKeeper {
     lines: Mutex<Vec<String>>,
 }
@@ -31,10 +31,11 @@
     lines: Mutex::new(Vec::new()),
 };
 
-// Guards against a log without levels in the very seconds that are too full.
+// Guards against a log that lacks the gauges of just the seconds in which too
+// many lines were logged.
 #[test]
-fn levels_are_written_though_the_routine_lines_of_the_second_are_used_up() {
-    log::set_logger(&KEEPER).expect("the first logger");
+fn gauges_are_logged_when_the_limit_of_routine_lines_is_reached() {
+    log::set_logger(&KEEPER).expect("no logger is installed yet");
     log::set_max_level(LevelFilter::Info);
     for number in 0..300 {
         event!(EventCode::OwnAnswer, "request={number}");
--- a/crates/hibiscus-types/src/lib.rs
+++ b/crates/hibiscus-types/src/lib.rs
@@ -1,10 +1,10 @@
-//! Identifiers, outcomes and the versioned codec that all slices share.
+//! Identifiers, outcomes and the versioned codec that the other crates share.
 //!
-//! The crate holds only what at least two slices name: who spends
-//! ([`TeamName`], [`BudgetName`]), who runs ([`InstanceName`],
-//! [`IncarnationId`]), what is asked for ([`RequestKey`]) and how it ended
-//! ([`RequestOutcome`], [`RefusalReason`]). Everything else belongs to the
-//! slice that decides on it.
+//! The crate holds only types that at least two crates use: the owners of
+//! tokens ([`TeamName`], [`BudgetName`]), the processes ([`InstanceName`],
+//! [`IncarnationId`]), the requests ([`RequestKey`]) and their results
+//! ([`RequestOutcome`], [`RefusalReason`]). Any other type belongs to the crate
+//! that implements its logic.
 
 pub mod codec;
 pub mod hash;
--- a/crates/hibiscus-types/src/outcome.rs
+++ b/crates/hibiscus-types/src/outcome.rs
@@ -1,9 +1,10 @@
-//! How a request ended, and why one was refused.
+//! Outcomes of requests and reasons for refusing them.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is known of a request's execution when its caller is answered.
+/// Whether a request was executed, as far as is known when its caller
+/// receives a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestOutcome {
@@ -16,7 +17,7 @@
 }
 
 impl RequestOutcome {
-    /// The value of the outcome header.
+    /// Returns the value of the outcome header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Ran => "ran",
@@ -38,39 +39,39 @@
     NoRoute,
     /// The ledger proves that the budget cannot cover the request.
     BudgetExhausted,
-    /// Not enough allowance was held and the ledger could not be read.
+    /// The instance held too little allowance and could not read the ledger.
     BudgetUnconfirmed,
     /// Neither a witness nor the log could record the request.
     NotRecorded,
     /// A bounded queue is full.
     Overloaded,
-    /// The instance is stopping.
+    /// The instance is shutting down.
     Stopping,
     /// The instance has no configuration yet.
     NotReady,
     /// No server of the service can take the request.
     NoServer,
-    /// The idempotency key is older than the window.
+    /// The idempotency key is older than the time for which keys are valid.
     KeyExpired,
-    /// The key was charged and its free runs are used up.
+    /// The key was charged, and its free runs are used up.
     KeySpent,
-    /// A request with the same key was started and its end is not known.
+    /// A request with the same key was started, and its result is not known.
     InProgress,
-    /// The request stopped each server that ran it.
+    /// The request is quarantined: each server that ran it crashed.
     Quarantined,
     /// The deadline passed.
     DeadlineExceeded,
     /// The server failed while it ran the request.
     ServerFailed,
-    /// The answer ended before its end marker.
+    /// The response ended before its end marker.
     AnswerBroken,
-    /// The path takes no call of this method.
+    /// The path does not support this method.
     MethodNotAllowed,
     /// The body did not arrive in time.
     ReceiveTimeout,
-    /// The body is larger than the instance takes.
+    /// The body is larger than the instance accepts.
     BodyTooLarge,
-    /// The headers are larger than the instance takes.
+    /// The headers are larger than the instance accepts.
     HeadersTooLarge,
 }
 
@@ -100,7 +101,7 @@
         Self::HeadersTooLarge,
     ];
 
-    /// The value of the error's `code` field.
+    /// Returns the value of the error's `code` field.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
--- a/crates/hibiscus-types/src/page.rs
+++ b/crates/hibiscus-types/src/page.rs
@@ -1,23 +1,24 @@
-//! Reading a stream page by page, for folds that do no I/O of their own.
+//! Interface for reading a stream page by page, for code that computes its
+//! state from records without doing I/O itself.
 
 /// One page of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamPage {
     /// The oldest retained offset.
     pub first: u64,
-    /// The offset that the next append will take.
+    /// The offset of the next record to be appended.
     pub end: u64,
     /// Records with their offsets, in order.
     pub records: Vec<(u64, Vec<u8>)>,
 }
 
-/// Reads pages of streams without waiting.
+/// A source of stream pages that does not wait for new records.
 pub trait PageSource {
-    /// Why a page cannot be read.
+    /// The error of a page that cannot be read.
     type Error: std::error::Error + 'static;
 
-    /// The page of `stream` from offset `from`, without records when they
-    /// have expired.
+    /// Returns the page of `stream` from offset `from`, without records if the
+    /// records from there on have expired.
     ///
     /// # Errors
     ///
--- a/crates/hibiscus-types/src/time.rs
+++ b/crates/hibiscus-types/src/time.rs
@@ -1,4 +1,4 @@
-//! Wall-clock time as carried in messages and records.
+//! Wall-clock time in messages and records.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -15,12 +15,12 @@
 pub struct UnixMillis(u64);
 
 impl UnixMillis {
-    /// The time `millis` milliseconds after the epoch.
+    /// Creates the time `millis` milliseconds after the Unix epoch.
     pub const fn new(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// The current time of this machine's clock.
+    /// Returns the current time of this machine's clock.
     pub fn now() -> Self {
         let elapsed = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -28,17 +28,17 @@
         Self(u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// Milliseconds since the epoch.
+    /// Returns the milliseconds since the Unix epoch.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// Time since `earlier`, zero when `earlier` lies ahead.
+    /// Returns the time since `earlier`, or zero when `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The time `span` later.
+    /// Returns the time that is `span` later.
     pub fn after(self, span: Duration) -> Self {
         let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(millis))
