--- a/crates/hibiscus-ledger/src/account.rs
+++ b/crates/hibiscus-ledger/src/account.rs
@@ -71,7 +71,7 @@
         machine: InstanceName,
         /// Increases by one with each draw of this holder and budget.
         serial: u64,
-        /// Requested tokens; the fold grants as many of them as are free.
+        /// Requested tokens; as many of them are granted as are free.
         tokens: TokenCount,
     },
     /// Reports what a holder spent and returned, and limits what it may spend
--- a/crates/hibiscus-ledger/src/account/demand.rs
+++ b/crates/hibiscus-ledger/src/account/demand.rs
@@ -14,7 +14,7 @@
 /// Weight of the short average, which swings with a few large requests.
 const SHORT_WEIGHT: f64 = 0.6;
 
-/// Counts reserved tokens by second, and the ratio of them that is used.
+/// Counts reserved tokens by second, and the fraction of them that is used.
 #[derive(Clone, Debug, Default)]
 pub struct DemandCounter {
     seconds: [u64; LONG_WINDOW_SECONDS as usize],
@@ -56,7 +56,7 @@
         long.max(short * SHORT_WEIGHT) * self.used_ratio()
     }
 
-    /// Ratio of used tokens to reserved tokens.
+    /// Fraction of used tokens to reserved tokens.
     fn used_ratio(&self) -> f64 {
         if self.reserved <= 0.0 {
             return 1.0;
--- a/crates/hibiscus-ledger/src/account/limit.rs
+++ b/crates/hibiscus-ledger/src/account/limit.rs
@@ -44,10 +44,10 @@
     }
 }
 
-/// Upper bound on a holder's spent and reserved tokens: `base + burst +
-/// per_second * time`, where `time` starts `grows_after` after the limit was
-/// created. A holder that reaches the store reports a new limit before that, so
-/// little is lost when it crashes.
+/// Upper bound on a holder's spent and reserved tokens, in tokens:
+/// `base + burst + per_second * time`, where `time` starts `grows_after` after
+/// the limit was created. A holder that reaches the store reports a new limit
+/// before that, so little is lost when it crashes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpendingLimit {
     /// Tokens spent and reserved at [`Self::created_at`].
--- a/crates/hibiscus-ledger/src/account/policy.rs
+++ b/crates/hibiscus-ledger/src/account/policy.rs
@@ -22,7 +22,7 @@
 /// Time for which a holder keeps tokens during a graceful shutdown, or after
 /// other instances became the holders.
 const RELEASE_HORIZON: Duration = Duration::from_secs(2);
-/// Ratio of the free tokens that all holders of a budget together may spend
+/// Fraction of the free tokens that all holders of a budget together may spend
 /// without a report, however low the demand is. This much may be lost in a
 /// power cut of all machines, and this much is available to the first requests
 /// of an idle team while the store is unreachable.
@@ -34,18 +34,19 @@
 /// Time in which the limit allows the baseline once more while no demand is
 /// known.
 const BASELINE_REFILL_TIME: Duration = Duration::from_secs(10);
-/// Ratio of the remaining tokens of an ample budget that all holders together
-/// keep. The rest is left for changes in demand and for use after a crash.
+/// Fraction of the remaining tokens of an ample budget that all holders
+/// together keep. The rest is left for changes in demand and for use after a
+/// crash.
 const HELD_RATIO: f64 = 0.5;
-/// Ratio of a budget's total below which the holders keep less than
+/// Fraction of a budget's total below which the holders keep less than
 /// [`HELD_RATIO`] of the remaining tokens: held tokens are unavailable to other
 /// holders.
 const LOW_BUDGET_RATIO: f64 = 0.4;
-/// Ratio of its target below which a holder draws.
+/// Fraction of its target below which a holder draws.
 const REFILL_RATIO: f64 = 0.7;
-/// Ratio of a budget's total below which free tokens are scarce.
+/// Fraction of a budget's total below which free tokens are scarce.
 const SCARCE_RATIO: f64 = 0.25;
-/// Ratios of a budget's total: below the first, few unspent tokens remain;
+/// Fractions of a budget's total: below the first, few unspent tokens remain;
 /// above the second, plenty remain.
 const PLENTY_RATIOS: [f64; 2] = [0.35, 0.7];
 /// Time for which the limit allows the present demand at once, so that not
--- a/crates/hibiscus-traffic/src/budgets.rs
+++ b/crates/hibiscus-traffic/src/budgets.rs
@@ -1,10 +1,10 @@
 //! Token budgets of this instance, and the requests that wait for tokens.
 //!
-//! [`BudgetManager`] folds the account stream. Its modules add the rest:
-//! `tokens` reserves and transfers tokens, `review` decides what is written to
-//! the store, and `recovery` closes the accounts of earlier processes and
-//! writes snapshots for later ones. The tasks of the traffic thread share the
-//! manager through a [`BudgetHandle`].
+//! [`BudgetManager`] applies the records of the account stream. Its modules add
+//! the rest: `tokens` reserves and transfers tokens, `review` decides what is
+//! written to the store, and `recovery` closes the accounts of earlier
+//! processes and writes snapshots for later ones. The tasks of the traffic
+//! thread share the manager through a [`BudgetHandle`].
 
 mod handle;
 mod recovery;
@@ -345,7 +345,8 @@
         self.totals.len()
     }
 
-    /// Whether the store lacks something of this instance's own accounts.
+    /// Whether this instance's own accounts have tokens or changes that are not
+    /// settled in the store.
     pub fn has_unsettled_account(&self) -> bool {
         let mut held = self.held.values();
         !self.has_read_own_records()
--- a/crates/hibiscus-traffic/src/budgets/tokens.rs
+++ b/crates/hibiscus-traffic/src/budgets/tokens.rs
@@ -18,8 +18,8 @@
 use crate::budgets::TokenRefusal;
 
 /// Age of an unacknowledged batch at which the store is considered unreachable
-/// and requests stop waiting for it. The store usually acknowledges within 10
-/// ms.
+/// and requests stop waiting for it. The store usually acknowledges a batch
+/// within 10 ms.
 const STORE_ACK_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time since the stream was last read to its end after which its state is too
 /// old to refuse a request as `Spent`; a read waits for 1.5 s.
@@ -214,8 +214,8 @@
         );
     }
 
-    /// Logs the levels of the budgets that `selects` selects, as of the last
-    /// record read.
+    /// Logs the levels of the budgets for which `selects` returns true, as of
+    /// the last record read.
     pub fn log_budgets(&self, selects: impl Fn(&BudgetName) -> bool) {
         let budgets = self.fold.budgets().iter();
         for (budget, account) in budgets
--- a/crates/hibiscus-traffic/src/holders.rs
+++ b/crates/hibiscus-traffic/src/holders.rs
@@ -1,13 +1,13 @@
 //! Selection of the instances that hold a budget.
 //!
 //! In a large fleet only a few instances draw from each budget. The other
-//! instances request the tokens of each request from one of them. The records
-//! and tokens of a budget therefore do not grow with the fleet, and tokens are
-//! not spread so thin that no instance has enough for a request. Only holders
-//! read the account stream. Holders are large machines, so that they can
-//! respond when a whole fleet starts at once. Instances may briefly disagree on
-//! the ranking; that is harmless, because any instance may draw and the fold
-//! decides.
+//! instances get the tokens for each caller's request from one of them. The
+//! records and tokens of a budget therefore do not grow with the fleet, and
+//! tokens are not spread so thin that no instance has enough for a request.
+//! Only holders read the account stream. Holders are large machines, so that
+//! they can respond when a whole fleet starts at once. Instances may briefly
+//! disagree on the ranking. This is harmless: any instance may draw, and all
+//! readers of the stream compute the same result of a draw.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -33,13 +33,13 @@
 /// Budgets of one group, while the number of groups is below its limit. All
 /// budgets of a group have the same holders.
 const BUDGETS_PER_GROUP: usize = 64;
-/// Largest number of groups, so that an instance requests tokens from a bounded
-/// number of others however many budgets there are.
+/// Largest number of groups, so that an instance contacts a bounded number of
+/// holders however many budgets there are.
 const GROUPS_LIMIT: usize = 16;
 /// Largest number of groups that a large machine holds before smaller machines
 /// become holders too.
 const GROUPS_PER_LARGE_MACHINE: usize = 4;
-/// Ratio of the largest capacity from which on a machine counts as large.
+/// Fraction of the largest capacity from which on a machine counts as large.
 const LARGE_CAPACITY_RATIO: f64 = 0.5;
 
 /// Number of groups for `budgets` budgets.
@@ -193,16 +193,16 @@
         });
     }
 
-    /// Orders the holders for requests at `now`, without those that recently
-    /// did not respond. After that time a single request, not every one, checks
-    /// whether such a holder responds again.
+    /// Orders the holders to contact at `now`, without those that recently did
+    /// not respond. After that time a single peer request, not one for each
+    /// caller's request, checks whether such a holder responds again.
     pub fn choose(&mut self, budget: &BudgetName, holders: &mut Vec<SocketAddr>, now: Duration) {
         holders.retain(|holder| {
             let unresponsive = self.unresponsive.get(holder);
             !unresponsive.is_some_and(|at| is_recent(*at, now))
         });
         for holder in holders.iter() {
-            // Until this check completes, other requests skip the holder.
+            // Until that peer request completes, others skip the holder.
             if let Some(unresponsive) = self.unresponsive.get_mut(holder) {
                 *unresponsive = now;
             }
--- a/crates/hibiscus-traffic/src/memory_pressure.rs
+++ b/crates/hibiscus-traffic/src/memory_pressure.rs
@@ -4,13 +4,13 @@
 //! lost. Before that, the process first drops what it can recreate, and then
 //! refuses new requests while those in progress finish.
 
-/// Ratio of the memory at which kept connections are dropped.
+/// Fraction of the memory at which kept connections are dropped.
 const TIGHT_RATIO: f64 = 0.80;
-/// Ratio of the memory at which callers are refused. The rest is for memory
+/// Fraction of the memory at which callers are refused. The rest is for memory
 /// that requests in progress take before the next check, and for bytes that the
 /// system counts but that the process has not read yet.
 const FULL_RATIO: f64 = 0.88;
-/// Ratio of the memory by which use must fall below a level's threshold to
+/// Fraction of the memory by which use must fall below a level's threshold to
 /// leave the level, so that the level does not flap.
 const HYSTERESIS_RATIO: f64 = 0.04;
 /// Largest number of requests in progress at which a process with full memory
--- a/crates/hibiscus-traffic/src/shares.rs
+++ b/crates/hibiscus-traffic/src/shares.rs
@@ -8,29 +8,29 @@
 /// Memory of the program with its libraries and tables, in bytes. Idle
 /// instances of a fleet of 62 use 13 to 15 MB.
 const PROGRAM_BYTES: usize = 16_000_000;
-/// Largest ratio of the memory that is set aside for the program, so that a
+/// Largest fraction of the memory that is set aside for the program, so that a
 /// machine with less memory still serves.
 const PROGRAM_RATIO: f64 = 0.5;
-/// Memory of a caller's connection with a request, in bytes: two buffers of 8
-/// KiB, its tasks and the kernel's buffer of unread bytes. An open stream uses
-/// 16 KiB.
+/// Memory of a caller's connection with a request, in bytes. It covers two
+/// buffers of 8 KiB, its tasks and the kernel's buffer of unread bytes; an open
+/// stream uses 16 KiB.
 const CALLER_CONNECTION_BYTES: usize = 24 * 1024;
 /// Memory of a connection to a server, in bytes: two buffers of 8 KiB and its
 /// task.
 const SERVER_CONNECTION_BYTES: usize = 20 * 1024;
-/// Ratio of the memory for callers' connections with requests, including the
+/// Fraction of the memory for callers' connections with requests, including the
 /// connections to their servers.
 const CALLERS_RATIO: f64 = 0.40;
-/// Ratio of the memory for request bodies.
+/// Fraction of the memory for request bodies.
 const BODIES_RATIO: f64 = 0.15;
-/// Ratio of the memory for idle connections to servers.
+/// Fraction of the memory for idle connections to servers.
 const IDLE_RATIO: f64 = 0.15;
-/// Ratio of the memory for pages read from the store, the link to the other
+/// Fraction of the memory for pages read from the store, the link to the other
 /// instances, and freed memory that is not reused at once.
 const RESERVE_RATIO: f64 = 0.30;
-/// Ratio of the descriptors for callers' connections.
+/// Fraction of the descriptors for callers' connections.
 const CALLER_DESCRIPTOR_RATIO: f64 = 0.6;
-/// Ratio of the descriptors for idle connections to servers. The rest is for
+/// Fraction of the descriptors for idle connections to servers. The rest is for
 /// servers in use, instances, the store and files.
 const IDLE_DESCRIPTOR_RATIO: f64 = 0.2;
 
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -1,11 +1,12 @@
-//! Reserves the tokens of requests.
+//! Reserves the tokens of callers' requests.
 //!
 //! A holder of a budget draws missing tokens from the store. An instance that
-//! does not hold the budget requests the tokens of each request from a holder,
-//! and so does a holder that cannot draw. The responding holder counts the
-//! tokens as spent before it responds, so a lost response loses tokens but
-//! never lets them be spent twice. Tokens that a request leaves unused serve
-//! the next requests, and go back to a holder after a delay.
+//! does not hold the budget gets the tokens for each caller's request from a
+//! holder by a peer request, and so does a holder that cannot draw. The
+//! contacted holder counts the tokens as spent before it responds, so a lost
+//! response loses tokens but never lets them be spent twice. Tokens that a
+//! caller's request leaves unused serve the next ones, and go back to a holder
+//! after a delay.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,17 +33,17 @@
 /// Longest wait for a draw: a draw takes two store calls, each of which takes
 /// up to 0.25 s while the store is slow.
 const DRAW_TIMEOUT: Duration = Duration::from_millis(600);
-/// Longest wait of a request for the responses of holders.
+/// Longest wait of a caller's request for the responses of holders.
 const HOLDERS_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time after which the next holder is requested too: a response takes a few
+/// Time after which the next holder is contacted too: a response takes a few
 /// milliseconds, or about twenty if the holder draws.
 const NEXT_HOLDER_DELAY: Duration = Duration::from_millis(120);
-/// Timeout for a holder's response. A response that arrives after its request
-/// gave up still brings tokens for the next request.
+/// Timeout for a holder's response. A response that arrives after the caller's
+/// request gave up still brings tokens for the next one.
 const HOLDER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Largest number of holders requested for one request. A holder that cannot
-/// reach the store refuses at once if it has too few tokens, and a third of the
-/// holders may be in that state.
+/// Largest number of holders contacted for one caller's request. A holder that
+/// cannot reach the store refuses at once if it has too few tokens, and a third
+/// of the holders may be in that state.
 const HOLDER_REQUEST_LIMIT: usize = 4;
 /// Time after which received tokens that no request used go back to a holder.
 const RECEIVED_TOKENS_RETURN_DELAY: Duration = Duration::from_millis(400);
@@ -192,16 +193,16 @@
             return Err(TokenRefusal::Unconfirmed);
         }
         if let Ok(reservation) = state.budgets.reserve(budget, tokens) {
-            // Counted only on success: a refused request is retried and would
-            // count twice.
+            // Counted only on success: a refused caller retries and would count
+            // twice.
             state.budgets.count_demand(budget, tokens);
             return Ok(reservation);
         }
     }
 }
 
-/// Reserves tokens that holders transfer. Requests them from one holder after
-/// another, and continues with the next one if a response is late.
+/// Reserves tokens that holders transfer. Contacts one holder after another,
+/// and the next one also if a response is late.
 async fn reserve_received<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     budget: &BudgetName,
@@ -261,9 +262,9 @@
     }
 }
 
-/// Requests tokens from one holder and sends the outcome to `response_sender`;
-/// the tokens can be reserved by then. The call continues if the request ends,
-/// so that its tokens are not lost.
+/// Sends a peer request for tokens to one holder and passes the outcome to
+/// `response_sender`; the tokens can be reserved by then. The peer request
+/// continues if the caller's request ends, so that its tokens are not lost.
 fn request_tokens<D: WireFormat>(
     state: &Rc<TrafficState<D>>,
     holder: SocketAddr,
@@ -318,7 +319,7 @@
         state
             .tally
             .count_peer_request(PeerRequestKind::Link, outcome);
-        // The request may have ended already.
+        // The caller's request may have ended already.
         let _ended = response_sender.send(response);
     });
 }
--- a/crates/hibiscus-traffic/src/tally.rs
+++ b/crates/hibiscus-traffic/src/tally.rs
@@ -56,11 +56,11 @@
 /// Why this instance closed a caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The connection was idle, and a new one needed its room.
+    /// The connection was idle, and a new one needed its place.
     Room,
     /// The request's head took too long to arrive.
     SlowHead,
-    /// There was no room for the connection.
+    /// The instance had no place for the connection.
     Full,
     /// The instance shuts down.
     Stopping,
--- a/crates/hibiscus-traffic/src/usage_log.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -19,9 +19,9 @@
 use crate::tally::WorkTally;
 use crate::traffic_metrics::TrafficGauges;
 
-/// Ratio of the memory at which use is logged as near the limit.
+/// Fraction of the memory at which use is logged as near the limit.
 const MEMORY_HIGH: f64 = 0.75;
-/// Ratio of the memory below which the next rise is logged again.
+/// Fraction of the memory below which the next rise is logged again.
 const MEMORY_LOW: f64 = 0.65;
 /// Timer lateness that is logged, in seconds: half of the longest time for a
 /// response to another instance.
--- a/crates/hibiscus-traffic/tests/holders.rs
+++ b/crates/hibiscus-traffic/tests/holders.rs
@@ -217,7 +217,7 @@
         let entries: Vec<InstanceEntry> = self
             .managers
             .iter()
-            .map(|(entry, _desk, _batches)| entry.clone())
+            .map(|(entry, _manager, _batches)| entry.clone())
             .collect();
         let mut sent = Vec::new();
         for (entry, manager, batches) in &mut self.managers {
--- a/crates/hibiscus-traffic/tests/power_cut.rs
+++ b/crates/hibiscus-traffic/tests/power_cut.rs
@@ -71,7 +71,7 @@
 const BACK_MS: u64 = 3_000;
 /// A request must not be refused if this many times its tokens are free.
 const FREE_FACTOR: u64 = 10;
-/// Largest ratio of the totals that two power cuts may lose.
+/// Largest fraction of the totals that two power cuts may lose.
 const LOST_RATIO: f64 = 0.03;
 
 /// A request that waits for tokens.
@@ -536,7 +536,7 @@
         }
     }
 
-    /// Ratio of the totals that was lost, without the tokens of requests in
+    /// Fraction of the totals that was lost, without the tokens of requests in
     /// progress.
     fn lost_ratio(&self) -> f64 {
         let lost: u64 = self.result.lost.values().sum();
@@ -596,13 +596,13 @@
     check_free_tokens(7);
 }
 
-/// See above.
+/// Guards against the same failure as the test of seven instances.
 #[test]
 fn sixty_two_instances_have_free_tokens_soon_after_a_power_cut_of_all() {
     check_free_tokens(62);
 }
 
-/// See above.
+/// Guards against the same failure as the test of seven instances.
 #[test]
 fn two_hundred_instances_have_free_tokens_soon_after_a_power_cut_of_all() {
     check_free_tokens(195);
--- a/crates/hibiscus-traffic/tests/shares.rs
+++ b/crates/hibiscus-traffic/tests/shares.rs
@@ -6,8 +6,8 @@
 /// deployments.
 const MACHINES: [(usize, usize); 2] = [(88_000_000, 4_100), (512_000_000, 8_192)];
 
-/// Smallest ratio of a machine's memory that no limit may assign. Pages of the
-/// store, the peer link and freed memory have no limit of their own.
+/// Smallest fraction of a machine's memory that no limit may assign. Pages of
+/// the store, the peer link and freed memory have no limit of their own.
 const LEAST_RESERVE: f64 = 0.2;
 
 // Guards against limits that each fit the machine but together exceed its
