--- a/crates/hibiscus-traffic/src/recovery.rs
+++ b/crates/hibiscus-traffic/src/recovery.rs
@@ -68,7 +68,7 @@
     let running: Rc<RefCell<BTreeSet<InstanceName>>> = Rc::default();
     loop {
         tokio::time::sleep(ENDED_PROCESSES_CHECK_INTERVAL).await;
-        if state.budgets.recovery() == RecoveryPhase::Reading || !state.keeps_accounts() {
+        if state.budgets.recovery() == RecoveryPhase::Reading || !state.closes_accounts() {
             continue;
         }
         let machines_with_ended_processes = {
@@ -100,16 +100,16 @@
     let (Some(link), Some(peer)) = (link, peer) else {
         return;
     };
-    let Some(process) = peers::ask_process(&link, peer).await else {
+    let Some(process) = peers::request_process(&link, peer).await else {
         return;
     };
     let present = process.incarnation;
     let began = state
         .now()
-        .saturating_sub(Duration::from_millis(process.age));
+        .saturating_sub(Duration::from_millis(process.age_ms));
     let open_accounts = state
         .budgets
-        .close_machine_accounts(machine, present, process.began);
+        .close_machine_accounts(machine, present, process.started_at);
     state.review_budgets();
     if open_accounts == 0 {
         return;
@@ -161,7 +161,7 @@
     };
     // Connections to the other holders are open already; a new one costs a
     // handshake.
-    let mut holders = state.fellow_holders();
+    let mut holders = state.co_holders();
     let mut others = state.directory.borrow().peer_addresses();
     others.retain(|other| !holders.contains(other));
     fastrand::shuffle(&mut others);
@@ -170,7 +170,7 @@
     holders.truncate(PEER_LIMIT.saturating_sub(responses.len()));
     for other in holders {
         let since = state.now().saturating_sub(began);
-        if let Some(reading) = peers::ask_time(&link, other).await {
+        if let Some(reading) = peers::request_time_of_day(&link, other).await {
             responses.insert(other, at_start(reading, since));
         }
     }
--- a/crates/hibiscus-traffic/src/supply.rs
+++ b/crates/hibiscus-traffic/src/supply.rs
@@ -23,8 +23,8 @@
 
 use crate::budgets::TokenRefusal;
 use crate::peers;
-use crate::peers::PeerAnswer;
-use crate::peers::PeerQuestion;
+use crate::peers::PeerRequest;
+use crate::peers::PeerResponse;
 use crate::state::TrafficState;
 use crate::tally::PeerRequestKind;
 use crate::tally::PeerRequestOutcome;
@@ -68,7 +68,7 @@
     tokens: TokenCount,
     deadline: Instant,
 ) -> Result<QuotaReservation> {
-    if state.asks_for(budget) {
+    if state.requests_from_holders(budget) {
         return reserve_received(state, budget, tokens, deadline).await;
     }
     let drawn = reserve_drawn(state, budget, tokens, deadline).await;
@@ -95,7 +95,7 @@
 ) -> Result<()> {
     // An instance that does not read the stream never gets the result of a
     // draw.
-    if state.budgets.is_closed() || !state.follows_accounts() {
+    if state.budgets.is_closed() || !state.reads_account_stream() {
         return Err(TokenRefusal::Unconfirmed);
     }
     let deadline = Instant::now() + DRAW_TIMEOUT;
@@ -116,7 +116,7 @@
         .budgets
         .take_idle_received(RECEIVED_TOKENS_RETURN_DELAY)
     {
-        if state.asks_for(&budget) {
+        if state.requests_from_holders(&budget) {
             tokio::task::spawn_local(send_back(Rc::clone(state), budget, tokens));
         } else {
             state.budgets.refund(&budget, tokens);
@@ -149,12 +149,12 @@
         state.budgets.add_received(&budget, tokens);
         return;
     };
-    let request = PeerQuestion::Return {
+    let request = PeerRequest::Return {
         budget: budget.clone(),
         tokens,
     };
     match peers::ask(&link, holder, &request, HOLDER_RESPONSE_TIMEOUT).await {
-        Some(PeerAnswer::Refused(_refusal)) => state.budgets.add_received(&budget, tokens),
+        Some(PeerResponse::Refused(_refusal)) => state.budgets.add_received(&budget, tokens),
         Some(_returned) => {}
         None => event!(
             EventCode::TokensNotBrought,
@@ -276,7 +276,7 @@
     let state = Rc::clone(state);
     let budget = budget.clone();
     tokio::task::spawn_local(async move {
-        let request = PeerQuestion::Reserve {
+        let request = PeerRequest::Reserve {
             budget: budget.clone(),
             tokens,
         };
@@ -289,14 +289,14 @@
             state.refusals.borrow_mut().note_response(holder, now);
         }
         let (outcome, response) = match response {
-            Some(PeerAnswer::Reserved(tokens)) => {
+            Some(PeerResponse::Reserved(tokens)) => {
                 state.budgets.add_received(&budget, tokens);
                 (PeerRequestOutcome::Answered, Ok(()))
             }
-            Some(PeerAnswer::Refused(TokenRefusal::Spent)) => {
+            Some(PeerResponse::Refused(TokenRefusal::Spent)) => {
                 (PeerRequestOutcome::Refused, Err(TokenRefusal::Spent))
             }
-            Some(PeerAnswer::Refused(refusal)) => {
+            Some(PeerResponse::Refused(refusal)) => {
                 state
                     .refusals
                     .borrow_mut()
--- a/crates/hibiscus-traffic/src/suspects.rs
+++ b/crates/hibiscus-traffic/src/suspects.rs
@@ -34,7 +34,7 @@
 
 use crate::crash_detector::CrashCandidate;
 use crate::crash_detector::RequestIdentity;
-use crate::model::ServerStart;
+use crate::model::ServerIncarnation;
 use crate::peers;
 use crate::servers::ServerHandle;
 use crate::state::TrafficState;
@@ -85,11 +85,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNotice {
     /// Servers whose ports were found closed.
-    pub servers: Vec<ServerStart>,
+    pub servers: Vec<ServerIncarnation>,
     /// The requests under which servers ended.
     pub suspects: Vec<SuspectRecord>,
     /// Servers that said that they leave.
-    pub draining: Vec<ServerStart>,
+    pub draining: Vec<ServerIncarnation>,
 }
 
 impl CrashNotice {
@@ -149,7 +149,7 @@
         let process = ServerProcess::of(&entry.name, entry.started);
         let mut news = Vec::with_capacity(requests.len());
         if self.book.borrow_mut().note_crash(process, now) {
-            self.waiting.borrow_mut().servers.push(entry.start());
+            self.waiting.borrow_mut().servers.push(entry.incarnation());
             self.has_news.notify_one();
         }
         for request in requests {
@@ -185,7 +185,7 @@
     }
 
     /// The process `start` of a server leaves, which was not known here.
-    pub fn note_draining(&self, start: ServerStart) {
+    pub fn note_draining(&self, start: ServerIncarnation) {
         self.waiting.borrow_mut().draining.push(start);
         self.has_news.notify_one();
     }
@@ -209,7 +209,7 @@
 
     /// Takes over at `now` what another instance tells; the servers of which
     /// nothing was known.
-    pub fn take_news(&self, news: &CrashNotice, now: Duration) -> Vec<ServerStart> {
+    pub fn take_news(&self, news: &CrashNotice, now: Duration) -> Vec<ServerIncarnation> {
         let mut servers = Vec::new();
         for closed in &news.servers {
             let process = ServerProcess::of(&closed.server, closed.started);
@@ -344,7 +344,7 @@
 impl<D: WireFormat> TrafficState<D> {
     /// The process `start` of a server leaves, as `source` tells: it gets
     /// nothing new from here, and the other instances learn it.
-    pub fn note_draining(&self, start: &ServerStart, source: &str) {
+    pub fn note_draining(&self, start: &ServerIncarnation, source: &str) {
         if !self.servers.borrow_mut().note_draining(start) {
             return;
         }
@@ -429,11 +429,11 @@
     let Some(link) = state.link.borrow().clone() else {
         return;
     };
-    if peers::tell_endings(&link, contact, &news).await {
+    if peers::send_crashes(&link, contact, &news).await {
         return;
     }
     tokio::time::sleep(REPEAT_PAUSE).await;
-    if !peers::tell_endings(&link, contact, &news).await {
+    if !peers::send_crashes(&link, contact, &news).await {
         event!(
             EventCode::SuspectsNotTold,
             "peer={contact} servers={} suspects={} leaving={}",
--- a/crates/hibiscus-traffic/src/usage_log.rs
+++ b/crates/hibiscus-traffic/src/usage_log.rs
@@ -11,8 +11,8 @@
 use hibiscus_events::EventCode;
 use hibiscus_events::event;
 
-use crate::machine::LevelWatch;
 use crate::machine::MachineLimits;
+use crate::machine::ThresholdTrigger;
 use crate::tally::DrawOutcome;
 use crate::tally::PeerRequestKind;
 use crate::tally::PeerRequestOutcome;
@@ -35,8 +35,8 @@
 #[derive(Debug)]
 pub struct UsageLogger {
     limits: MachineLimits,
-    memory: RefCell<LevelWatch>,
-    lateness: RefCell<LevelWatch>,
+    memory: RefCell<ThresholdTrigger>,
+    lateness: RefCell<ThresholdTrigger>,
     /// Largest lateness since the last line of levels.
     max_lateness: Cell<Duration>,
     checks: Cell<u32>,
@@ -47,8 +47,8 @@
     pub fn new(limits: MachineLimits) -> Self {
         Self {
             limits,
-            memory: RefCell::new(LevelWatch::new(MEMORY_HIGH, MEMORY_LOW)),
-            lateness: RefCell::new(LevelWatch::new(LATE_HIGH, LATE_LOW)),
+            memory: RefCell::new(ThresholdTrigger::new(MEMORY_HIGH, MEMORY_LOW)),
+            lateness: RefCell::new(ThresholdTrigger::new(LATE_HIGH, LATE_LOW)),
             max_lateness: Cell::default(),
             checks: Cell::default(),
         }
@@ -57,7 +57,7 @@
     /// Records that the timer was late by `delay`.
     pub fn note_lateness(&self, delay: Duration) {
         self.max_lateness.set(self.max_lateness.get().max(delay));
-        if self.lateness.borrow_mut().rises(delay.as_secs_f64()) {
+        if self.lateness.borrow_mut().fires(delay.as_secs_f64()) {
             event!(EventCode::ThreadLate, "late_ms={}", delay.as_millis());
         }
     }
@@ -66,7 +66,7 @@
     pub fn note_levels(&self, levels: &TrafficGauges, tally: &WorkTally) -> bool {
         let memory = self.limits.memory_bytes.max(1) as f64;
         let ratio = levels.used.resident_bytes as f64 / memory;
-        if self.memory.borrow_mut().rises(ratio) {
+        if self.memory.borrow_mut().fires(ratio) {
             event!(
                 EventCode::MemoryNearLimit,
                 "resident_bytes={} limit_bytes={} caller_connections={} requests={} body_bytes={} idle_links={} accounts={} account_lag={}",
